--- a/hallproxy/adapter.py
+++ b/hallproxy/adapter.py
@@ -10,10 +10,10 @@
 from hallproxy.interface import Action, Event, SettingsError
 from hallproxy.wire.simulator_actions import InstanceActions, encode_fault, encode_reply
 from hallproxy.wire.simulator_events import (
-    Begin,
     Decoder,
     EventBatch,
-    Killed,
+    InstanceKilled,
+    InstanceStarted,
     WireError,
     WireEvent,
     read_frame,
@@ -59,10 +59,10 @@
     actions: list[Action] = []
     router = routers.get(instance)
     for event in events:
-        if isinstance(event, Killed):
+        if isinstance(event, InstanceKilled):
             routers.pop(instance, None)
             router, pending, actions = None, [], []
-        elif isinstance(event, Begin):
+        elif isinstance(event, InstanceStarted):
             router = routers[instance] = Router(event.settings, event.seed)
             pending, actions = [], []
         elif router is None:
--- a/hallproxy/commands.py
+++ b/hallproxy/commands.py
@@ -82,7 +82,7 @@
     from hallproxy.relay import status
 
     statuses = status.fetch_all(args.addresses)
-    print(json.dumps(statuses, indent=1) if args.json else "\n".join(status.tree(statuses)))
+    print(json.dumps(statuses, indent=1) if args.json else "\n".join(status.format_tree(statuses)))
     return int(any("error" in one for one in statuses.values()))
 
 
--- a/hallproxy/feed/pages.py
+++ b/hallproxy/feed/pages.py
@@ -37,14 +37,14 @@
         )
         self._heads: dict[tuple[int, bytes, bool], bytes] = {}
 
-    def head(self, age: int, via: bytes, closes: bool) -> bytes:
+    def head(self, age: int, via: bytes, close_after_response: bool) -> bytes:
         """The head; ``age`` in whole seconds (RFC 9111, 5.1), ``via`` the field's value (RFC 9110, 7.6.3)."""
-        key = age, via, closes
+        key = age, via, close_after_response
         head = self._heads.get(key)
         if head is None:
             if len(self._heads) >= MAX_HEADS:
                 self._heads.clear()
-            ends = b"Connection: close\r\n" if closes else b""
+            ends = b"Connection: close\r\n" if close_after_response else b""
             head = self._heads[key] = b"%bAge: %d\r\nVia: %b\r\n%b\r\n" % (self._fields, age, via, ends)
         return head
 
@@ -68,7 +68,7 @@
         self._max_bytes = max_bytes
         self._pages: OrderedDict[Hashable, Page] = OrderedDict()
         self.bytes = 0
-        self.built = 0
+        self.build_count = 0
 
     def __len__(self) -> int:
         return len(self._pages)
@@ -79,7 +79,7 @@
         if page is not None:
             return page
         page = self._pages[key] = build()
-        self.built += 1
+        self.build_count += 1
         self.bytes += len(page.body)
         # First in, first out: a page is requested when it is new, and hardly ever later.
         while len(self._pages) > 1 and self._over_limit():
--- a/hallproxy/files/disk.py
+++ b/hallproxy/files/disk.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import BinaryIO
 
-from hallproxy.files.kept import Found
+from hallproxy.files.file_table import Found
 from hallproxy.files.messages import FileRead, FileWritten, ReadFile, RemoveFile, WriteFile
 from hallproxy.run.effect_runner import EffectRunner
 from hallproxy.run.log import log_line
--- a/hallproxy/files/file_cache.py
+++ b/hallproxy/files/file_cache.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from hallproxy.files.kept import Kept, Name, read_name
+from hallproxy.files.file_table import FileTable, Name, read_name
 from hallproxy.files.messages import FileRead, FileWritten, ReadFile, RemoveFile, WriteFile
 from hallproxy.state import lifecycle
 from hallproxy.state.events import AttemptResult, ExtensionEvent, FailureReason, Response, ResponseKind
@@ -32,14 +32,14 @@
     """Files on disk. Its effects and events are those of ``hallproxy.files.messages``.
 
     Attributes:
-        kept: the table of cached files.
+        table: the table of cached files.
         served: responses from cached files so far.
         joined: requests that waited for another's fetch so far.
     """
 
-    def __init__(self, state: GatewayState, kept: Kept, large: int) -> None:
+    def __init__(self, state: GatewayState, table: FileTable, large: int) -> None:
         """``large``: files of so many bytes and more are never read into memory."""
-        self.kept = kept
+        self.table = table
         self.served = 0
         self.joined = 0
         self._state = state
@@ -60,10 +60,10 @@
         return self._read_file(in_flight, name)
 
     def _read_file(self, in_flight: InFlightRequest, name: Name) -> bool:
-        if not self.kept.use(name):
+        if not self.table.use(name):
             return False
-        large = self.kept.sizes[name] >= self._large
-        self._state.effects.append(ReadFile(in_flight.id, name, large, name in self.kept.checked))
+        large = self.table.sizes[name] >= self._large
+        self._state.effects.append(ReadFile(in_flight.id, name, large, name in self.table.checked))
         return True
 
     def downstream_closed(self, in_flight: InFlightRequest) -> bool:
@@ -110,7 +110,7 @@
         name = _file_name(in_flight)
         if name is None or not body:
             return
-        evicted = self.kept.begin(name, len(body), self._state.now)
+        evicted = self.table.begin(name, len(body), self._state.now)
         if evicted is not None:
             self._state.effects += [RemoveFile(old) for old in evicted]
             self._state.effects.append(WriteFile(name, body))
@@ -119,17 +119,17 @@
         """Take a large file, which was downloaded to its place, into the table."""
         name = read_name(result.stored_file)
         if name is not None:
-            self._state.effects += [RemoveFile(old) for old in self.kept.adopt(name, result.size)]
+            self._state.effects += [RemoveFile(old) for old in self.table.adopt(name, result.size)]
 
     def discard(self, stored_file: str) -> None:
         """Remove a file that must not be served."""
         name = read_name(stored_file)
-        if name is not None and self.kept.drop(name):
+        if name is not None and self.table.drop(name):
             self._state.effects.append(RemoveFile(name))
 
     def purge(self, object_id: int, group: int) -> None:
         """Remove the files of the object, or with object 0 of its whole group."""
-        self._state.effects += [RemoveFile(name) for name in self.kept.purge(object_id, group)]
+        self._state.effects += [RemoveFile(name) for name in self.table.purge(object_id, group)]
 
     def handle(self, event: ExtensionEvent) -> None:
         """Take what the disk reports."""
@@ -137,19 +137,19 @@
             case FileRead():
                 self._file_read(event)
             case FileWritten():
-                usable = self.kept.written(event.name, event.succeeded, self._state.now)
-                if event.succeeded and not usable and event.name not in self.kept.sizes:
+                usable = self.table.written(event.name, event.succeeded, self._state.now)
+                if event.succeeded and not usable and event.name not in self.table.sizes:
                     # Purged while it was being written.
                     self._state.effects.append(RemoveFile(event.name))
 
     def _file_read(self, event: FileRead) -> None:
         """Answer the request that the file was read for; if it can't be served, hand it to the router."""
         in_flight, name = self._state.requests.get(event.request), event.name
-        if not event.succeeded and self.kept.drop(name):
+        if not event.succeeded and self.table.drop(name):
             self._state.effects.append(RemoveFile(name))
-        size = self.kept.sizes.get(name)
+        size = self.table.sizes.get(name)
         if event.succeeded and size is not None:
-            self.kept.checked.add(name)
+            self.table.checked.add(name)
         if in_flight is None or in_flight.answered:
             return
         if not event.succeeded or size is None:  # None: purged while it was read
--- a/hallproxy/files/kept.py
+++ b/hallproxy/files/file_table.py
@@ -45,11 +45,11 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class FileTable:
     """Bounded in bytes; longest unused leaves first. What is being written counts from the beginning."""
 
     most: int  # bytes
-    held: int = 0
+    used_bytes: int = 0
     sizes: OrderedDict[Name, int] = field(default_factory=OrderedDict)
     writing: dict[Name, int] = field(default_factory=dict)
     abandoned: set[Name] = field(default_factory=set)  # dropped while they are being written
@@ -65,7 +65,7 @@
                 gone.append(entry.name)
             else:
                 self.sizes[name] = entry.size
-                self.held += entry.size
+                self.used_bytes += entry.size
         return gone + [str(name) for name in self._make_room(0)]
 
     def use(self, name: Name) -> bool:
@@ -85,7 +85,7 @@
             return None
         gone = self._make_room(size)
         self.writing[name] = size
-        self.held += size
+        self.used_bytes += size
         return gone
 
     def written(self, name: Name, good: bool, now: int) -> bool:
@@ -102,7 +102,7 @@
         if good:
             self.sizes[name] = size
         else:
-            self.held -= size
+            self.used_bytes -= size
         return good
 
     def adopt(self, name: Name, size: int) -> list[Name]:
@@ -111,7 +111,7 @@
         gone = self._make_room(size)
         self.sizes[name] = size
         self.checked.add(name)
-        self.held += size
+        self.used_bytes += size
         return gone
 
     def drop(self, name: Name) -> bool:
@@ -119,10 +119,10 @@
         self.checked.discard(name)
         size = self.sizes.pop(name, None)
         if size is not None:
-            self.held -= size
+            self.used_bytes -= size
             return True
         if (size := self.writing.pop(name, None)) is not None:
-            self.held -= size
+            self.used_bytes -= size
             self.abandoned.add(name)
         return False
 
@@ -134,9 +134,9 @@
 
     def _make_room(self, size: int) -> list[Name]:
         gone = []
-        while self.held + size > self.most and self.sizes:
+        while self.used_bytes + size > self.most and self.sizes:
             name, old = self.sizes.popitem(last=False)
             self.checked.discard(name)
-            self.held -= old
+            self.used_bytes -= old
             gone.append(name)
         return gone
--- a/hallproxy/files/messages.py
+++ b/hallproxy/files/messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from hallproxy.files.kept import Name
+from hallproxy.files.file_table import Name
 from hallproxy.state.effects import ExtensionEffect
 from hallproxy.state.events import ExtensionEvent
 
--- a/hallproxy/files/spool.py
+++ b/hallproxy/files/spool.py
@@ -17,7 +17,7 @@
 from tornado.iostream import StreamClosedError
 
 from hallproxy import interface as i
-from hallproxy.files.kept import LARGEST, PAUSE, Name
+from hallproxy.files.file_table import LARGEST, PAUSE, Name
 from hallproxy.files.resume import Part, begins_at, on_from, strong
 from hallproxy.run.log import log_line
 from hallproxy.run.sockets import Buffer, Stream
@@ -38,7 +38,7 @@
     hash: hashlib._Hash
 
 
-class Spools:
+class DownloadSpool:
     def __init__(self, where: Path, most: int, from_size: int) -> None:
         """``most``: bytes of the whole directory; ``from_size``: files of so many and more come this way."""
         self._where, self._from = where, from_size
@@ -47,29 +47,29 @@
         self._numbers = 0
         self._paused_until = 0
 
-    def ask_on(self, order: UpstreamRequest, host: str) -> UpstreamRequest:
-        """The order, for the rest alone where a beginning can be gone on with."""
-        name = _name(order)
+    def with_range(self, request: UpstreamRequest, host: str) -> UpstreamRequest:
+        """The request, with a range for the rest where a beginning can be continued."""
+        name = _name(request)
         held = self._beginnings.get(name) if name is not None else None
         first, validator = on_from(held.part if held is not None else None, host)
-        return replace(order, range_from=first, if_range=validator) if first else order
+        return replace(request, range_from=first, if_range=validator) if first else request
 
-    def begin(self, order: UpstreamRequest, head: Head, host: str) -> Transfer | None:
+    def begin(self, request: UpstreamRequest, head: Head, host: str) -> Transfer | None:
         """How to take in that answer's body; None: in memory, as any other.
 
         Raises HttpError for a part that was not asked for: nothing can be made of its bytes.
         """
-        name = _name(order)
+        name = _name(request)
         if name is None:
             return None
         if head.status not in (200, 206):
-            if order.range_from:  # what it was the beginning of is not there any more
+            if request.range_from:  # what it was the beginning of is not there any more
                 self._forget(name)
             return None
         length = head.body_length
         if length is None:
             return None
-        first = begins_at(order.range_from, head.status, head.fields, length)
+        first = begins_at(request.range_from, head.status, head.fields, length)
         if first is None:
             self._forget(name)  # the next attempt asks for the whole
             raise HttpError("a part that was not asked for")
@@ -88,7 +88,7 @@
             self._numbers += 1
             path = self._where / f"{name}.{self._numbers}.part"
             held = Beginning(path, Part(0, host, strong(head.fields.get("etag", ""))), hashlib.sha256())
-        return Transfer(self, name, held, length, order)
+        return Transfer(self, name, held, length, request)
 
     def keep(self, name: Name, held: Beginning) -> None:
         """A beginning that may be gone on with."""
@@ -117,13 +117,15 @@
     """One body on its way to the disk."""
 
     def __init__(
-        self, spools: Spools, name: Name, held: Beginning, length: int, order: UpstreamRequest
+        self, spools: DownloadSpool, name: Name, held: Beginning, length: int, request: UpstreamRequest
     ) -> None:
-        self._spools, self._name, self._held, self._order = spools, name, held, order
+        self._spools, self._name, self._held, self._request = spools, name, held, request
         self._left = length
         self._file: BinaryIO | None = None
 
-    async def receive(self, made: Stream, buffer: Buffer, pause: float, asked_at: int) -> AttemptResult:
+    async def receive(
+        self, stream: Stream, buffer: Buffer, stall_timeout: float, sent_at: int
+    ) -> AttemptResult:
         """Take the whole body in. A break of the connection is raised, and what came is kept for going on.
 
         The bytes count as made when they were asked for: a purge heard while they come is younger.
@@ -137,7 +139,7 @@
                 block[:have] = memoryview(buffer.data)[:have]
                 buffer.discard(have)
                 while have < size:
-                    have += await made.read_some(memoryview(block)[have:size], pause)
+                    have += await stream.read_some(memoryview(block)[have:size], stall_timeout)
                 await asyncio.to_thread(self._write, memoryview(block)[:size])
                 have = 0
                 self._left -= size
@@ -165,13 +167,13 @@
         except OSError as error:
             self._spools.failed(self._name, error)
             return AttemptResult(i.AttemptStatus.MISS, reason=FailureReason.BUSY)
-        unchanged = self._order.client_etag == self._name.digest
+        unchanged = self._request.client_etag == self._name.digest
         return AttemptResult(
             i.AttemptStatus.OK,
             b"",
             unchanged,
             self._name.digest,
-            asked_at,
+            sent_at,
             stored_file=str(self._name),
             size=size,
         )
@@ -186,6 +188,6 @@
         self._held.part = replace(self._held.part, size=self._held.part.size + len(data))
 
 
-def _name(order: UpstreamRequest) -> Name | None:
+def _name(request: UpstreamRequest) -> Name | None:
     """Only what is named by a digest comes this way."""
-    return Name(order.object, order.digest) if order.digest and not order.is_write else None
+    return Name(request.object, request.digest) if request.digest and not request.is_write else None
--- a/hallproxy/lab/capacity/failures.py
+++ b/hallproxy/lab/capacity/failures.py
@@ -137,8 +137,8 @@
         Figure(
             "s",
             lambda size, ready: Worked(
-                shutdown.MAX_QUIET_WAIT + ready.at(size.stores) / 1e3,
-                f"{num(shutdown.MAX_QUIET_WAIT)} s at most to drain"
+                shutdown.MAX_LATE_REQUEST_WAIT + ready.at(size.stores) / 1e3,
+                f"{num(shutdown.MAX_LATE_REQUEST_WAIT)} s at most to drain"
                 f" + {num(ready.at(size.stores))} ms to listen",
             ),
             (READY,),
--- a/hallproxy/lab/capacity/gateway_rows.py
+++ b/hallproxy/lab/capacity/gateway_rows.py
@@ -5,7 +5,7 @@
 from hallproxy.lab.capacity.control_rows import purges_single
 from hallproxy.lab.capacity.rows import Figure, Mechanism, Need, Row, Slope, Worked, num, told
 from hallproxy.lab.capacity.size import SIZE, Size
-from hallproxy.repository.front import FORMS_MOST
+from hallproxy.repository.front import MAX_RENDERED_INDEX_BYTES
 from hallproxy.run import change_log_poller, shutdown
 from hallproxy.wire.frames import MAX_FRAME_BYTES
 
@@ -315,9 +315,9 @@
 
 def _roll(size: Size, ready: Slope) -> Worked:
     ms, at_once = ready.at(size.stores), size.gateways / 100
-    drain = num(shutdown.MAX_QUIET_WAIT)
+    drain = num(shutdown.MAX_LATE_REQUEST_WAIT)
     text = f"100 steps of {num(at_once)} gateways × ({drain} s of drain + {num(ms)} ms)"
-    return Worked(100 * (shutdown.MAX_QUIET_WAIT + ms / 1e3) / 60, text)
+    return Worked(100 * (shutdown.MAX_LATE_REQUEST_WAIT + ms / 1e3) / 60, text)
 
 
 READY = Need("starts.members", "ready_ms")
@@ -390,7 +390,7 @@
         "start",
         "time",
         "a planned stop: the longest until its last answer, classes' deadlines aside",
-        Figure("s", told(shutdown.MAX_QUIET_WAIT, "the program's own bound")),
+        Figure("s", told(shutdown.MAX_LATE_REQUEST_WAIT, "the program's own bound")),
         program.DRAIN,
     ),
     Row(
@@ -434,7 +434,7 @@
         "second",
         "state",
         "indexes kept in the forms they were served in, at most",
-        Figure("MB", told(FORMS_MOST / 1e6, "the program's own bound")),
+        Figure("MB", told(MAX_RENDERED_INDEX_BYTES / 1e6, "the program's own bound")),
         program.FRONT,
     ),
     Row(
--- a/hallproxy/lab/capacity/program.py
+++ b/hallproxy/lab/capacity/program.py
@@ -16,7 +16,7 @@
 _SETTINGS = Settings(
     (RequestClass(SECOND, SECOND),), 0, (0,), 1, 2, 1.0, 0, 1.0, SECOND, 0, 0
 )  # nothing of them is asked for but when stores close idle connections: never told
-BOUNDS = limits.bounds(Config("", ("", 0), 0, MEMORY_MB, SOCKETS, None, 0, 0, {}, _SETTINGS))
+BOUNDS = limits.derive_limits(Config("", ("", 0), 0, MEMORY_MB, SOCKETS, None, 0, 0, {}, _SETTINGS))
 """What it may hold with them, on a machine that allows a process as many descriptors."""
 PARTS = SIZE.asked * SIZE.body_kb / PART_KB
 """Parts a second at one gateway, were bodies told in the largest parts there are."""
--- a/hallproxy/relay/front.py
+++ b/hallproxy/relay/front.py
@@ -322,29 +322,39 @@
     def _on_request(self, connection: Connection, head: Head) -> None:
         request = parse_request(head)
         if isinstance(request, BadRequest):
-            self._reject(connection, request.status, request.closes)
+            self._reject(connection, request.status, request.close_after_response)
             return
         if isinstance(request, StatusRequest):
             connection.last_request_at = self._now()
             body = json.dumps(self.status()).encode()
-            self._respond(connection, 200, request.closes, b"Content-Type: application/json\r\n", body)
+            self._respond(
+                connection, 200, request.close_after_response, b"Content-Type: application/json\r\n", body
+            )
             return
-        self._poll(connection, request.since, request.timeout, request.accepts_gzip, request.closes)
+        self._poll(
+            connection, request.since, request.timeout, request.accepts_gzip, request.close_after_response
+        )
 
-    def _reject(self, connection: Connection, status: int, closes: bool) -> None:
+    def _reject(self, connection: Connection, status: int, close_after_response: bool) -> None:
         self.counts["bad"] += 1
-        self._respond(connection, status, closes, b"Allow: GET\r\n" if status == 405 else b"")
+        self._respond(connection, status, close_after_response, b"Allow: GET\r\n" if status == 405 else b"")
 
     # Answering
 
-    def _poll(self, connection: Connection, since: int, wait: int, zipped: bool, closes: bool) -> None:
+    def _poll(
+        self, connection: Connection, since: int, wait: int, zipped: bool, close_after_response: bool
+    ) -> None:
         if connection.status_only:
             self._reject_overloaded(connection)
             return
         now = connection.last_request_at = self._now()
         log = self.log
         self.counts["polls"] += 1
-        connection.since, connection.accepts_gzip, connection.close_after_response = since, zipped, closes
+        connection.since, connection.accepts_gzip, connection.close_after_response = (
+            since,
+            zipped,
+            close_after_response,
+        )
         connection.answer_at_once = not wait or self.stopping
         connection.generation += 1
         found = log.page_kind(since, connection.log_incarnation, connection.answer_at_once)
@@ -402,30 +412,35 @@
             return
         if found is not PageKind.UNKNOWN:
             connection.log_incarnation = log.incarnation
-        closes = connection.close_after_response or self.stopping
+        close_after_response = connection.close_after_response or self.stopping
         self._write(
             connection,
-            (page.head(self.current.age_seconds(now), self.current.via, closes), page.body),
-            closes,
+            (page.head(self.current.age_seconds(now), self.current.via, close_after_response), page.body),
+            close_after_response,
         )
 
     def _respond(
-        self, connection: Connection, status: int, closes: bool, fields: bytes = b"", body: bytes = b""
+        self,
+        connection: Connection,
+        status: int,
+        close_after_response: bool,
+        fields: bytes = b"",
+        body: bytes = b"",
     ) -> None:
         """Send a response other than a page."""
-        closes = closes or self.stopping
-        ends = b"Connection: close\r\n" if closes else b""
+        close_after_response = close_after_response or self.stopping
+        ends = b"Connection: close\r\n" if close_after_response else b""
         head = b"HTTP/1.1 %d %b\r\n%bVia: %b\r\nContent-Length: %d\r\n%b\r\n" % (
             status, STATUSES[status], fields, self.current.via, len(body), ends)  # fmt: skip
-        self._write(connection, (head, body) if body else (head,), closes)
+        self._write(connection, (head, body) if body else (head,), close_after_response)
 
-    def _write(self, connection: Connection, pieces: tuple[bytes, ...], closes: bool) -> None:
+    def _write(self, connection: Connection, pieces: tuple[bytes, ...], close_after_response: bool) -> None:
         if connection.state is ConnectionState.HELD:
             del self.held[connection]
         connection.state, connection.generation, connection.close_after_response = (
             ConnectionState.IDLE,
             connection.generation + 1,
-            closes,
+            close_after_response,
         )
         try:
             connection.stream.write_pieces(pieces)
@@ -439,7 +454,7 @@
         if connection.stream.writing():
             self._wait_until_sent(connection)
             return
-        if closes:
+        if close_after_response:
             self._end_gracefully(connection)
             return
         if connection.paused or connection.streamed:
--- a/hallproxy/relay/requests.py
+++ b/hallproxy/relay/requests.py
@@ -26,20 +26,20 @@
         since: the number of the last event that the follower has.
         timeout: ms to wait for events.
         accepts_gzip: whether the response may be compressed.
-        closes: whether the connection ends with the response.
+        close_after_response: whether the connection ends with the response.
     """
 
     since: int
     timeout: int
     accepts_gzip: bool
-    closes: bool
+    close_after_response: bool
 
 
 @dataclass(slots=True, frozen=True)
 class StatusRequest:
     """A request for the relay's status."""
 
-    closes: bool
+    close_after_response: bool
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,28 +47,28 @@
     """A request that is answered with an error."""
 
     status: int
-    closes: bool
+    close_after_response: bool
 
 
 def parse_request(head: Head) -> Poll | StatusRequest | BadRequest:
     """What a request's head asks for."""
-    closes = not head.keep_alive
+    close_after_response = not head.keep_alive
     try:
         url = urlsplit(head.target)
     except ValueError:
         return BadRequest(400, True)
     if url.path not in ("/status", "/changes"):
-        return BadRequest(404, closes)
+        return BadRequest(404, close_after_response)
     if head.method != "GET":
-        return BadRequest(405, closes)
+        return BadRequest(405, close_after_response)
     if url.path == "/status":
-        return StatusRequest(closes)
+        return StatusRequest(close_after_response)
     try:
         query = parse_qs(url.query, keep_blank_values=True, max_num_fields=MAX_QUERY_FIELDS)
         since, timeout = (_number(query.get(key, ["0"])) for key in ("since", "timeout"))
     except ValueError:
         return BadRequest(400, True)
-    return Poll(since, timeout, accepts_gzip(head.fields.get("accept-encoding", "")), closes)
+    return Poll(since, timeout, accepts_gzip(head.fields.get("accept-encoding", "")), close_after_response)
 
 
 def accepts_gzip(accept_encoding: str) -> bool:
--- a/hallproxy/relay/status.py
+++ b/hallproxy/relay/status.py
@@ -61,7 +61,7 @@
         "numbers": [{"number": number, "followers": count} for number, count in numbers],
         "confirmed_ms": confirmed.delays_ms(),
         "unconfirmed": confirmed.unconfirmed_pages(),
-        "pages": {"built": log.pages.built, "held": len(log.pages), "bytes": log.pages.bytes},
+        "pages": {"built": log.pages.build_count, "held": len(log.pages), "bytes": log.pages.bytes},
         "answers": dict(front.counts),
         "heard": {"events": upstream.events, "bytes": upstream.bytes},
     }
@@ -108,7 +108,7 @@
     return {text(address(at)): fetch(at) for at in addresses}
 
 
-def tree(found: dict[str, Status]) -> list[str]:
+def format_tree(found: dict[str, Status]) -> list[str]:
     """The relays as lines, each below the one that it follows; who was not asked is named alone."""
     below: dict[str, list[str]] = {}
     for at, said in found.items():
--- a/hallproxy/relay/upstream.py
+++ b/hallproxy/relay/upstream.py
@@ -54,7 +54,7 @@
     def turn_to(self, sources: Sources) -> None:
         """Follow other sources from now on."""
         self.has_alternatives = not isinstance(sources, SingleSource)
-        self.change_sources(sources)
+        self.set_sources(sources)
 
     def now(self) -> int:
         """The clock (ns)."""
--- a/hallproxy/repository/front.py
+++ b/hallproxy/repository/front.py
@@ -32,7 +32,7 @@
 from hallproxy.repository.config import INDEX, PACKAGE
 from hallproxy.repository.rejection import OVERLOADED, ConnectionRejecter
 from hallproxy.routes import Route, Routes, Tier
-from hallproxy.run.contracts import Applied
+from hallproxy.run.contracts import AppliedContracts
 from hallproxy.run.effect_runner import EffectRunner
 from hallproxy.run.log import log_line
 from hallproxy.run.sockets import Buffer, Stream, TlsStream, tcp_stream, tls_server_stream
@@ -51,7 +51,7 @@
 SLACK = SECOND // 20  # ns kept back of a deadline for writing the answer
 IDLE = 30.0  # s that a connection waits for its next request, and for the rest of its head
 FIRST_IN = 5.0  # s for a connection's first whole head: who says nothing must not hold a place
-FORMS_MOST = 16 * 1024 * 1024  # bytes of indexes kept in the forms they were served in
+MAX_RENDERED_INDEX_BYTES = 16 * 1024 * 1024  # bytes of indexes kept in the forms they were served in
 STALE = "hallproxy; hit; detail=stale-if-error"  # RFC 9211; every upstream failed, no purge was heard
 FORM = 256  # bytes that each takes beside its body
 VARY = "Accept, Accept-Encoding"
@@ -181,7 +181,8 @@
         self.routes = routes or Routes((), ())  # read anew with the deploy file
         self.tls: ssl.SSLContext | None = None  # towards clients; a reload's is for new connections
         self._indexes = indexes or simple.Remembered()
-        self.applied = Applied()  # teams' tokens and services' projects; read anew with the contracts
+        # Teams' tokens and services' projects; read anew with the contracts.
+        self.applied = AppliedContracts()
         self._classes = {c.name: n for n, c in enumerate(loop.state.settings.classes)}
         self.places = ConnectionSlots(most)
         self.connection_rejecter = ConnectionRejecter()
@@ -191,7 +192,7 @@
         self._slow: set[Seat] = set()  # connections with such bytes
         self._idle: dict[Seat, None] = {}  # connections with nothing asked, the longest idle first
         self._forms: LRUCache[tuple[str, ...], tuple[bytes, str]] = LRUCache(
-            FORMS_MOST, getsizeof=lambda made: len(made[0]) + FORM
+            MAX_RENDERED_INDEX_BYTES, getsizeof=lambda made: len(made[0]) + FORM
         )
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -400,7 +401,7 @@
                 made = _form(index, media, coding)
             else:
                 made = await asyncio.to_thread(_form, index, media, coding)
-            if len(made[0]) + FORM <= FORMS_MOST:
+            if len(made[0]) + FORM <= MAX_RENDERED_INDEX_BYTES:
                 self._forms[place] = made
         return made
 
@@ -524,7 +525,7 @@
             return await future
         finally:
             who.seat.waits = None
-            if self.loop.repliers.pop(caller, None) is not None:  # nobody waits any more
+            if self.loop.response_callbacks.pop(caller, None) is not None:  # nobody waits any more
                 self.loop.dispatch(DownstreamClosed(self.loop.now(), caller))
 
     def _team(self, head: Head) -> str | None:
--- a/hallproxy/repository/serve.py
+++ b/hallproxy/repository/serve.py
@@ -15,14 +15,14 @@
 from hallproxy.decisions.settings import check_settings
 from hallproxy.files.disk import Disk, DiskError
 from hallproxy.files.file_cache import DiskFileCache
-from hallproxy.files.kept import Kept
-from hallproxy.files.spool import Spools
+from hallproxy.files.file_table import FileTable
+from hallproxy.files.spool import DownloadSpool
 from hallproxy.repository.config import RepositoryConfig, load
 from hallproxy.repository.front import Repository
 from hallproxy.repository.simple import Upstream
 from hallproxy.run.change_log_poller import Poller
 from hallproxy.run.config import ConfigError
-from hallproxy.run.contracts import Applied, ContractError, in_force, read_applied
+from hallproxy.run.contracts import AppliedContracts, ContractError, applied_contracts, read_applied
 from hallproxy.run.effect_runner import EffectRunner
 from hallproxy.run.listener import Listener
 from hallproxy.run.log import log_line
@@ -75,13 +75,13 @@
         disk = Disk(config.files)
     except DiskError as error:
         raise ConfigError(str(error)) from None
-    kept = Kept(config.files_most)
-    for name in kept.recover(disk.list()):
+    table = FileTable(config.files_most)
+    for name in table.recover(disk.list()):
         disk.remove(name)
-    loop.state.file_cache = DiskFileCache(loop.state, kept, config.files_large)
+    loop.state.file_cache = DiskFileCache(loop.state, table, config.files_large)
     loop.extension_handler = disk.do
     disk.attach(loop)
-    log_line(f"files: {len(kept.sizes)} kept, {kept.held} bytes")
+    log_line(f"files: {len(table.sizes)} kept, {table.used_bytes} bytes")
     return disk
 
 
@@ -94,7 +94,7 @@
     front = Repository(loop, CONNECTIONS, upstream.indexes, config.routes)
     if disk is not None and config.files is not None:
         front.open_file = disk.open
-        stores.downloads = Spools(config.files, config.files_most, config.files_large)
+        stores.downloads = DownloadSpool(config.files, config.files_most, config.files_large)
     front.tls = config.tls
     contracts = Watch(config.contracts, loop, front) if config.contracts is not None else None
     if contracts is not None:
@@ -174,7 +174,7 @@
         self._seen = seen
         try:
             serial, document = read_applied(self._path)
-            applied: Applied = in_force(document)
+            applied: AppliedContracts = applied_contracts(document)
         except (ContractError, KeyError, TypeError, AttributeError) as error:
             if first:
                 raise
--- a/hallproxy/repository/simple.py
+++ b/hallproxy/repository/simple.py
@@ -557,7 +557,7 @@
 class Upstream:
     """The wire to an upstream repository, for the effect runner."""
 
-    pause = 2.0  # s; the way there may be long, and a lost packet alone costs some tenths
+    stall_timeout = 2.0  # s; the way there may be long, and a lost packet alone costs some tenths
 
     def __init__(self, most: int, hosts: Iterable[str], ways: Mapping[str, Way] | None = None) -> None:
         self.indexes = Remembered()
@@ -565,26 +565,26 @@
 
     def configure(self, most: int, hosts: Iterable[str], ways: Mapping[str, Way] | None = None) -> None:
         """``ways``: by address, the prefix of an upstream's paths and what it is told of who asks."""
-        self.most = most
+        self.max_body_bytes = most
         self._hosts = tuple(hosts)
         self._ways = dict(ways or {})
 
-    def head(self, order: UpstreamRequest, host: str) -> bytes:
+    def head(self, request: UpstreamRequest, host: str) -> bytes:
         way = self._ways.get(host, NO_WAY)
         # Indexes are asked by their own path under the prefix; a file by the path its index named.
-        name = order.name if order.digest else way.prefix + order.name
+        name = request.name if request.digest else way.prefix + request.name
         lines = [f"GET {name} HTTP/1.1", f"Host: {way.server_name or host}", "User-Agent: hallproxy"]
         if way.authorization:
             lines.append(f"Authorization: {way.authorization}")
-        if not order.digest:
+        if not request.digest:
             lines.append(f"Accept: {JSON}, {HTML};q=0.2, {PLAIN_HTML};q=0.1")
-        if order.validator:
-            lines.append(f"If-None-Match: {order.validator}")
-        if order.range_from:
-            lines += [f"Range: bytes={order.range_from}-", f"If-Range: {order.if_range}"]
-        if order.max_age:
+        if request.validator:
+            lines.append(f"If-None-Match: {request.validator}")
+        if request.range_from:
+            lines += [f"Range: bytes={request.range_from}-", f"If-Range: {request.if_range}"]
+        if request.max_age:
             # After a purge: nothing that a cache on the way has held since before it.
-            lines.append(f"Cache-Control: max-age={order.max_age // SECOND}")
+            lines.append(f"Cache-Control: max-age={request.max_age // SECOND}")
         return "\r\n".join([*lines, "", ""]).encode()
 
     def tls(self, host: str) -> tuple[ssl.SSLContext, str] | None:
@@ -595,29 +595,29 @@
         return way.tls, way.server_name or host.rsplit(":", 1)[0]
 
     def read(
-        self, order: UpstreamRequest, head: Head, body: bytes, sent_at: int, host: str = ""
+        self, request: UpstreamRequest, head: Head, body: bytes, sent_at: int, host: str = ""
     ) -> AttemptResult:
         """An answer in the core's terms. Only bytes that hash to what the index named are a good one."""
         if head.status in (404, 410):
             return AttemptResult(i.AttemptStatus.MISS, reason=FailureReason.NOT_FOUND)
         if head.status in (429, 503):
             return AttemptResult(i.AttemptStatus.FULL, reason=FailureReason.BUSY)
-        if head.status != 200 and not (head.status == 304 and order.validator):
+        if head.status != 200 and not (head.status == 304 and request.validator):
             return AttemptResult(i.AttemptStatus.ERROR, reason=FailureReason.ERROR)
         # Made after the request went out, unless a cache on the way says how long it has held it.
         age = head.fields.get("age", "0")
         born = sent_at - (int(age) + 1) * SECOND if age.isdigit() and int(age) else sent_at
         if head.status == 304:
             return AttemptResult(i.AttemptStatus.OK, generated_at=born, revalidated=True)
-        if order.digest:
-            if hashlib.sha256(body).hexdigest() != order.digest:
+        if request.digest:
+            if hashlib.sha256(body).hexdigest() != request.digest:
                 return AttemptResult(i.AttemptStatus.MISS, reason=FailureReason.REPLACED)
             return AttemptResult(
-                i.AttemptStatus.OK, body, order.client_etag == order.digest, order.digest, born
+                i.AttemptStatus.OK, body, request.client_etag == request.digest, request.digest, born
             )
         try:
             media = head.fields.get("content-type", PLAIN_HTML)
-            index = read_index(body, media, order.name, self._hosts, self._ways.get(host, NO_WAY).prefix)
+            index = read_index(body, media, request.name, self._hosts, self._ways.get(host, NO_WAY).prefix)
         except BadIndex:
             return AttemptResult(i.AttemptStatus.ERROR, reason=FailureReason.ERROR)
         packed = pack_index(index)
--- a/hallproxy/run/change_log_follower.py
+++ b/hallproxy/run/change_log_follower.py
@@ -88,7 +88,7 @@
     def _stream(self) -> Stream | None:
         return self._connection.stream if self._connection is not None else None
 
-    def change_sources(self, sources: Sources) -> None:
+    def set_sources(self, sources: Sources) -> None:
         """Poll these from now on. The rest of a response from the former address is dropped."""
         self._sources = sources
         if self._connection is not None:
@@ -178,7 +178,7 @@
             self.apply(PollResponse(page, raw.head, raw.polled_at, raw.source, len(raw.body)))
         except ChangeLogError as error:
             # A malformed page of one relay says nothing of gaps in the next one's.
-            if error.gap or not self._compressed:
+            if error.is_gap or not self._compressed:
                 self._gap = self.since
             raise
         sources.record_success(raw.source, self.now())
--- a/hallproxy/run/change_log_poller.py
+++ b/hallproxy/run/change_log_poller.py
@@ -66,7 +66,7 @@
         sources = _sources(source)
         if sources != self._sources:
             self.has_alternatives = has_alternatives
-            self.change_sources(sources)
+            self.set_sources(sources)
 
     def apply(self, answer: PollResponse) -> None:
         """Dispatch the page's new events; ChangeLogError where it can't be used."""
@@ -75,12 +75,12 @@
         # A response with events may have been made at the moment of the poll.
         self._runner.dispatch(WatchCaughtUp(answer.polled_at - age_ns))
 
-    def _dispatch_events(self, page: dict[str, Any], gaps: bool, live: bool = True) -> None:
+    def _dispatch_events(self, page: dict[str, Any], allow_gaps: bool, live: bool = True) -> None:
         """Dispatch the new events, each completely or not at all; of a snapshot page all or none."""
         state = self._runner.state
         first = snapshot_start(page) if live else None
         since = self.since if first is None else first
-        events = decode_events(page, since, state.settings, self._runner.now(), gaps, live)
+        events = decode_events(page, since, state.settings, self._runner.now(), allow_gaps, live)
         for seq, event in events if first is None else list(events):
             if event is not None:
                 self._runner.dispatch(event)
--- a/hallproxy/run/config.py
+++ b/hallproxy/run/config.py
@@ -58,7 +58,7 @@
         """The change log's events that the configuration brings."""
         last, events = 0, []
         # After a restart the log counts from 1 again, but `known` may leave out what has been overtaken.
-        for seq, event in decode_events(self.known, 0, self.settings, now, gaps=True, live=False):
+        for seq, event in decode_events(self.known, 0, self.settings, now, allow_gaps=True, live=False):
             last = seq
             if event is not None:
                 events.append(event)
--- a/hallproxy/run/contracts.py
+++ b/hallproxy/run/contracts.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Applied:
+class AppliedContracts:
     """What is in force, as the fronts and the core need it."""
 
     contracts: Contracts = field(default_factory=Contracts)
@@ -50,7 +50,7 @@
 
     def service_of(self, project: str) -> str:
         """The first service, by name, one of whose patterns the project matches; empty: none."""
-        for name, patterns in self.services.items():  # in order of names, see in_force
+        for name, patterns in self.services.items():  # in order of names, see applied_contracts
             if any(fnmatchcase(project, pattern) for pattern in patterns):
                 return name
         return ""
@@ -189,7 +189,7 @@
         raise ContractError(f"{path} holds no applied state") from None
 
 
-def in_force(document: Document) -> Applied:
+def applied_contracts(document: Document) -> AppliedContracts:
     """What the fronts and the broker need of a checked document."""
     held = tuple(
         Contract(
@@ -225,7 +225,7 @@
         )
         for name, o in document.get("organisations", {}).items()
     )
-    return Applied(
+    return AppliedContracts(
         Contracts(held, teams, organisations),
         {name: team["token_sha256"] for name, team in document["teams"].items()},
         {name: tuple(service["projects"]) for name, service in sorted(document["services"].items())},
--- a/hallproxy/run/downstream_connection.py
+++ b/hallproxy/run/downstream_connection.py
@@ -137,7 +137,7 @@
 
     def _close_downstream(self, downstream: int) -> None:
         runner = self._owner.runner
-        runner.repliers.pop(downstream, None)
+        runner.response_callbacks.pop(downstream, None)
         runner.dispatch(DownstreamClosed(runner.now(), downstream))
 
     def _receive(self, buffer: Buffer) -> int:
--- a/hallproxy/run/effect_runner.py
+++ b/hallproxy/run/effect_runner.py
@@ -45,7 +45,7 @@
         ...
 
 
-Replier = Callable[[Response], None]
+ResponseCallback = Callable[[Response], None]
 
 
 class EffectRunner:
@@ -54,7 +54,7 @@
     def __init__(self, state: GatewayState) -> None:
         self.state = state
         self.connections: UpstreamTransport
-        self.repliers: dict[int, Replier] = {}
+        self.response_callbacks: dict[int, ResponseCallback] = {}
         self.extension_handler: Callable[[ExtensionEffect], None] = (
             lambda _: None
         )  # what does the effects of further parts
@@ -68,10 +68,10 @@
         self._last = max(self._last, time.time_ns())
         return self._last
 
-    def register_downstream(self, replier: Replier) -> int:
-        """A new downstream number, whose response ``replier`` is called with, once."""
+    def register_downstream(self, callback: ResponseCallback) -> int:
+        """A new downstream number, whose response ``callback`` is called with, once."""
         self._last_downstream += 1
-        self.repliers[self._last_downstream] = replier
+        self.response_callbacks[self._last_downstream] = callback
         return self._last_downstream
 
     def dispatch(self, event: Event) -> None:
@@ -98,9 +98,9 @@
             case SendRequest():
                 self.connections.send(effect.connection, effect)
             case SendResponse():
-                replier = self.repliers.pop(effect.downstream, None)
-                if replier is not None:
-                    replier(effect.response)
+                callback = self.response_callbacks.pop(effect.downstream, None)
+                if callback is not None:
+                    callback(effect.response)
             case ScheduleTimer():
                 delay = max(0, effect.event.at - time.time_ns()) / 1e9
                 asyncio.get_running_loop().call_later(delay, self._timer_due, effect.event)
--- a/hallproxy/run/gateway.py
+++ b/hallproxy/run/gateway.py
@@ -12,7 +12,7 @@
 from hallproxy.run.config import Config
 from hallproxy.run.downstream_connections import DownstreamConnections
 from hallproxy.run.effect_runner import EffectRunner
-from hallproxy.run.limits import bounds
+from hallproxy.run.limits import derive_limits
 from hallproxy.run.upstream_connections import UpstreamConnections
 from hallproxy.state.events import ContractsUpdated, WatchCaughtUp
 from hallproxy.state.model import GatewayState
@@ -43,7 +43,9 @@
 def build(config: Config, files: GatewayFiles) -> Gateway:
     """Build the parts and apply what the files contain. ConfigError where one of them can't be used."""
     source = configured_source(config, files.change_logs)
-    loop = EffectRunner(GatewayState(config.settings, Router(config.settings, config.seed), bounds(config)))
+    loop = EffectRunner(
+        GatewayState(config.settings, Router(config.settings, config.seed), derive_limits(config))
+    )
     codec = PlatformProtocol(config.settings)
     loop.connections = UpstreamConnections(loop, codec)
     since = _apply_known_events(loop, config)
--- a/hallproxy/run/limits.py
+++ b/hallproxy/run/limits.py
@@ -19,7 +19,7 @@
 MIN_IDLE = 1_000_000_000  # ns
 
 
-def bounds(config: Config) -> Limits:
+def derive_limits(config: Config) -> Limits:
     """The limits of the state, so that memory and descriptors stay within the configuration's."""
     memory = config.memory_mb * MB
     spare = max(MIN_SPARE_MEMORY, memory - BASE_MEMORY)
--- a/hallproxy/run/reload.py
+++ b/hallproxy/run/reload.py
@@ -9,7 +9,7 @@
 from hallproxy.run.change_log_source import ConfiguredSource, configured_source
 from hallproxy.run.config import Config, ConfigError, load
 from hallproxy.run.gateway import Gateway, apply_teams
-from hallproxy.run.limits import bounds
+from hallproxy.run.limits import derive_limits
 from hallproxy.state.events import Reconfigured
 
 
@@ -43,6 +43,6 @@
 def _apply(gateway: Gateway, config: Config, source: ConfiguredSource) -> None:
     loop = gateway.loop
     gateway.codec.settings = config.settings
-    loop.dispatch(Reconfigured(loop.now(), config.settings, bounds(config)))
+    loop.dispatch(Reconfigured(loop.now(), config.settings, derive_limits(config)))
     if gateway.poller is not None and source.sources is not None:
         gateway.poller.reconfigure(source.sources, config.known, source.has_alternatives)
--- a/hallproxy/run/response_reader.py
+++ b/hallproxy/run/response_reader.py
@@ -13,15 +13,15 @@
 SWITCHING_PROTOCOLS = 101
 
 
-async def read_head(stream: Stream, buffer: Buffer, pause: float | None = None) -> Head:
+async def read_head(stream: Stream, buffer: Buffer, stall_timeout: float | None = None) -> Head:
     """The final response's head, after interim ones (1xx).
 
-    ``pause``: s without a byte after which a head that has begun has stopped short (TimeoutError). Between
-    an interim response and the final one there is no limit. HttpError where there is no final one.
+    ``stall_timeout``: s without a byte after which a head that has begun has stopped short (TimeoutError).
+    Between an interim response and the final one there is no limit. HttpError where there is no final one.
     """
     for _ in range(MAX_INTERIM_RESPONSES):
         while (head := decode_response_head(buffer.data, buffer.filled)) is None:
-            await buffer.fill(stream, READ_BYTES, pause if buffer.filled else None)
+            await buffer.fill(stream, READ_BYTES, stall_timeout if buffer.filled else None)
         buffer.discard(head.size)
         if head.status >= FIRST_FINAL_STATUS:
             return head
@@ -31,18 +31,18 @@
 
 
 async def read_body(
-    stream: Stream, buffer: Buffer, head: Head, max_bytes: int, pause: float | None = None
+    stream: Stream, buffer: Buffer, head: Head, max_bytes: int, stall_timeout: float | None = None
 ) -> bytes:
     """A response's complete body. One cut short raises, as does one over ``max_bytes`` (HttpError)."""
     if head.body_length is not None:
-        return await _read_sized(stream, buffer, head.body_length, max_bytes, pause)
+        return await _read_sized(stream, buffer, head.body_length, max_bytes, stall_timeout)
     if not head.chunked:
         raise HttpError("a body without a length")
-    return await _read_chunked(stream, buffer, max_bytes, pause)
+    return await _read_chunked(stream, buffer, max_bytes, stall_timeout)
 
 
 async def _read_sized(
-    stream: Stream, buffer: Buffer, length: int, max_bytes: int, pause: float | None
+    stream: Stream, buffer: Buffer, length: int, max_bytes: int, stall_timeout: float | None
 ) -> bytes:
     if length > max_bytes:
         raise HttpError(f"a body of {length} bytes")
@@ -51,42 +51,42 @@
     body[:received] = memoryview(buffer.data)[:received]
     buffer.discard(received)
     while received < length:
-        received += await stream.read_some(memoryview(body)[received:], pause)
+        received += await stream.read_some(memoryview(body)[received:], stall_timeout)
     return bytes(body)
 
 
-async def _read_chunked(stream: Stream, buffer: Buffer, max_bytes: int, pause: float | None) -> bytes:
+async def _read_chunked(stream: Stream, buffer: Buffer, max_bytes: int, stall_timeout: float | None) -> bytes:
     body = bytearray()
     framing = 0  # bytes of chunk sizes and trailers, which must be limited too
-    while length := decode_chunk_size(line := await _read_line(stream, buffer, pause)):
+    while length := decode_chunk_size(line := await _read_line(stream, buffer, stall_timeout)):
         framing += len(line)
         if len(body) + length > max_bytes:
             raise HttpError(f"a body of over {max_bytes} bytes")
-        body += await _read_exactly(stream, buffer, length, pause)
-        if await _read_line(stream, buffer, pause):
+        body += await _read_exactly(stream, buffer, length, stall_timeout)
+        if await _read_line(stream, buffer, stall_timeout):
             raise HttpError("a chunk longer than it says")
         if framing > MAX_FRAMING_BYTES:
             raise HttpError("chunks that hold next to nothing")
-    while line := await _read_line(stream, buffer, pause):  # trailers
+    while line := await _read_line(stream, buffer, stall_timeout):  # trailers
         framing += len(line)
         if framing > MAX_FRAMING_BYTES:
             raise HttpError("trailers without end")
     return bytes(body)
 
 
-async def _read_line(stream: Stream, buffer: Buffer, pause: float | None) -> bytes:
+async def _read_line(stream: Stream, buffer: Buffer, stall_timeout: float | None) -> bytes:
     while (end := buffer.data.find(b"\r\n", 0, buffer.filled)) < 0:
         if buffer.filled > MAX_LINE_BYTES:
             raise HttpError("a line that is too long")
-        await buffer.fill(stream, READ_BYTES, pause)
+        await buffer.fill(stream, READ_BYTES, stall_timeout)
     line = bytes(buffer.data[:end])
     buffer.discard(end + 2)
     return line
 
 
-async def _read_exactly(stream: Stream, buffer: Buffer, size: int, pause: float | None) -> bytes:
+async def _read_exactly(stream: Stream, buffer: Buffer, size: int, stall_timeout: float | None) -> bytes:
     while buffer.filled < size:
-        await buffer.fill(stream, size - buffer.filled, pause)
+        await buffer.fill(stream, size - buffer.filled, stall_timeout)
     data = bytes(buffer.data[:size])
     buffer.discard(size)
     return data
--- a/hallproxy/run/shutdown.py
+++ b/hallproxy/run/shutdown.py
@@ -16,7 +16,7 @@
 ACCEPT_FOR = 0.8  # s in which new connections and requests are still accepted
 GO_AWAY_AFTER = 0.45  # s until clients are sent a go-away, once the load balancer has noticed
 QUIET_FOR = 0.3  # s without a new request or connection that end the wait for late ones, ...
-MAX_QUIET_WAIT = 3.0  # s ...which ends at this latest, as some clients go on sending all the same
+MAX_LATE_REQUEST_WAIT = 3.0  # s ...which ends at this latest, as some clients go on sending all the same
 MAX_COUNTED_DEADLINE = 3 * SECOND  # ns; a longer deadline does not put off the SIGKILL
 KILLED_AFTER = 700_000_000  # ns from the longest deadline, as it is counted, to the SIGKILL
 REJECTS_BEFORE = 100_000_000  # ns before all is answered from which new requests are rejected in any case
@@ -102,7 +102,7 @@
         if self._listening or not self._sent_go_away:
             return False
         last = max(self._clients.last_activity_at, self._began_at)
-        return self._clock() - last >= QUIET_FOR or elapsed >= MAX_QUIET_WAIT
+        return self._clock() - last >= QUIET_FOR or elapsed >= MAX_LATE_REQUEST_WAIT
 
     def _reject_new(self) -> None:
         self._rejecting = True
--- a/hallproxy/run/upstream_connections.py
+++ b/hallproxy/run/upstream_connections.py
@@ -34,14 +34,14 @@
 class ProtocolCodec(Protocol):
     """How requests are encoded for the endpoints of one front, and their responses decoded."""
 
-    most: int  # bytes of a body
+    max_body_bytes: int  # bytes of a body
 
     @property
-    def pause(self) -> float:
+    def stall_timeout(self) -> float:
         """Seconds without a byte after which a response that has begun has stopped short."""
         ...
 
-    def head(self, order: UpstreamRequest, host: str) -> bytes:
+    def head(self, request: UpstreamRequest, host: str) -> bytes:
         """The request's head."""
         ...
 
@@ -49,7 +49,9 @@
         """The context and the name to check; None: without TLS."""
         ...
 
-    def read(self, order: UpstreamRequest, head: Head, body: bytes, sent_at: int, host: str) -> AttemptResult:
+    def read(
+        self, request: UpstreamRequest, head: Head, body: bytes, sent_at: int, host: str
+    ) -> AttemptResult:
         """What the complete response means for the attempt."""
         ...
 
@@ -57,10 +59,12 @@
 class Download(Protocol):
     """A response body that is written to disk as it arrives."""
 
-    async def receive(self, made: Stream, buffer: Buffer, pause: float, asked_at: int) -> AttemptResult:
+    async def receive(
+        self, stream: Stream, buffer: Buffer, stall_timeout: float, sent_at: int
+    ) -> AttemptResult:
         """Receive the complete body. A broken connection raises; what arrived is kept for a resumption.
 
-        ``pause``: s without a byte after which the response has stopped short. ``asked_at``: Unix ns.
+        ``stall_timeout``: s without a byte after which the response has stopped short. ``sent_at``: Unix ns.
         """
         ...
 
@@ -68,11 +72,11 @@
 class Downloads(Protocol):
     """Chooses the response bodies that go to disk."""
 
-    def ask_on(self, order: UpstreamRequest, host: str) -> UpstreamRequest:
-        """The request, for the rest alone where a partial download can be resumed."""
+    def with_range(self, request: UpstreamRequest, host: str) -> UpstreamRequest:
+        """The request, with a range for the rest where a partial download can be resumed."""
         ...
 
-    def begin(self, order: UpstreamRequest, head: Head, host: str) -> Download | None:
+    def begin(self, request: UpstreamRequest, head: Head, host: str) -> Download | None:
         """The download of this response's body; None: it is read into memory."""
         ...
 
@@ -127,7 +131,7 @@
             return  # it has just broken, and its ConnectionClosed is about to be dispatched
         request = effect.request
         if self.downloads is not None:
-            request = self.downloads.ask_on(request, connection.host)
+            request = self.downloads.with_range(request, connection.host)
         if connection.stream.is_stale():
             # Closed, reset or sent to while it was idle: nothing was sent, so another may carry the request.
             self._close_unused(number)
@@ -207,13 +211,15 @@
         if connection.request is None:
             # These bytes would be taken for the next response.
             raise HttpError("bytes that nobody asked for")
-        head = await read_head(connection.stream, buffer, self._codec.pause)
+        head = await read_head(connection.stream, buffer, self._codec.stall_timeout)
         self._log_rejection(connection.host, head.status)
         if self.downloads is not None:
             download = self.downloads.begin(_request(connection), head, connection.host)
             if download is not None:
                 return await self._receive_download(connection, head, download)
-        size = min(CHUNKED_BODY_BYTES if head.body_length is None else head.body_length, self._codec.most)
+        size = min(
+            CHUNKED_BODY_BYTES if head.body_length is None else head.body_length, self._codec.max_body_bytes
+        )
         await self._budget.acquire(size)
         try:
             return await self._receive_body(connection, head)
@@ -222,7 +228,7 @@
 
     async def _receive_body(self, connection: _Connection, head: Head) -> bool:
         codec, stream, buffer = self._codec, connection.stream, connection.buffer
-        body = await read_body(stream, buffer, head, codec.most, codec.pause)
+        body = await read_body(stream, buffer, head, codec.max_body_bytes, codec.stall_timeout)
         if not self._is_open(connection):
             return False
         request = connection.request
@@ -246,7 +252,7 @@
     async def _receive_download(self, connection: _Connection, head: Head, download: Download) -> bool:
         """Receive a body to disk; the result names the file."""
         stream, buffer = connection.stream, connection.buffer
-        result = await download.receive(stream, buffer, self._codec.pause, connection.sent_at)
+        result = await download.receive(stream, buffer, self._codec.stall_timeout, connection.sent_at)
         expected = connection.request is not None
         connection.request = None
         # A disk that failed has left a part of this body unread.
--- a/hallproxy/wire/changelog.py
+++ b/hallproxy/wire/changelog.py
@@ -17,31 +17,31 @@
 
 
 class ChangeLogError(ValueError):
-    """A page that can't be read; the text says why. ``gap``: it can, but its numbers leave a gap."""
+    """A page that can't be read; the text says why. ``is_gap``: it can, but its numbers leave a gap."""
 
-    gap = False
+    is_gap = False
 
 
-def encode_poll(since: int, wait_ms: int, host: str, coded: bool = False) -> bytes:
-    """A poll for what follows number ``since``; ``coded``: the response may come compressed."""
-    accepts = "Accept-Encoding: gzip\r\n" if coded else ""
+def encode_poll(since: int, wait_ms: int, host: str, accept_gzip: bool = False) -> bytes:
+    """A poll for what follows number ``since``; ``accept_gzip``: the response may come compressed."""
+    accepts = "Accept-Encoding: gzip\r\n" if accept_gzip else ""
     return f"GET /changes?since={since}&timeout={wait_ms} HTTP/1.1\r\nHost: {host}\r\n{accepts}\r\n".encode()
 
 
-def decompress(body: bytes, coding: str, most: int) -> bytes:
-    """The body without its coding (Content-Encoding; gzip or none), ``most`` bytes at most."""
+def decompress(body: bytes, coding: str, max_bytes: int) -> bytes:
+    """The body without its coding (Content-Encoding; gzip or none), ``max_bytes`` bytes at most."""
     match coding.strip().lower():
         case "" | "identity":
             return body
         case "gzip" | "x-gzip":
             unpacking = zlib.decompressobj(wbits=31)
             try:
-                plain = unpacking.decompress(body, most + 1)
+                plain = unpacking.decompress(body, max_bytes + 1)
             except zlib.error as error:
                 raise ChangeLogError(f"news that can't be unpacked: {error}") from None
             # Guards the memory against a small body that stands for a huge one.
-            if len(plain) > most:
-                raise ChangeLogError(f"news of over {most} bytes")
+            if len(plain) > max_bytes:
+                raise ChangeLogError(f"news of over {max_bytes} bytes")
             if not unpacking.eof or unpacking.unused_data:
                 raise ChangeLogError("news that can't be unpacked: it does not end with its coding")
             return plain
@@ -102,21 +102,22 @@
     since: int,
     settings: i.Settings,
     now: int,
-    gaps: bool = False,
+    allow_gaps: bool = False,
     live: bool = True,
 ) -> Iterator[tuple[int, EndpointListUpdated | PurgeNotified | None]]:
     """The events after ``since`` in their order, each with its number; None for a kind not known here.
 
-    A number that leaves a gap raises ChangeLogError, as what follows it must not be applied, unless ``gaps``
-    says that the log has been polled again and has nothing to fill it. What is not ``live`` may be old.
+    A number that leaves a gap raises ChangeLogError, as what follows it must not be applied, unless
+    ``allow_gaps`` says that the log has been polled again and has nothing to fill it. What is not ``live``
+    may be old.
     """
     try:
         for seq, entry in _numbered(page):
             if seq <= since:
                 continue
-            if seq != since + 1 and not gaps:
+            if seq != since + 1 and not allow_gaps:
                 error = ChangeLogError(f"the change log leaves a gap between {since} and {seq}")
-                error.gap = True
+                error.is_gap = True
                 raise error
             since = seq
             yield seq, _event(entry, settings, now, live)
--- a/hallproxy/wire/simulator_events.py
+++ b/hallproxy/wire/simulator_events.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Begin:
+class InstanceStarted:
     """An instance starts: its seed and its settings."""
 
     seed: int
@@ -76,11 +76,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Killed:
+class InstanceKilled:
     """An instance was killed."""
 
 
-WireEvent = i.Event | Begin | Killed
+WireEvent = i.Event | InstanceStarted | InstanceKilled
 
 
 @dataclass(slots=True)
@@ -195,13 +195,13 @@
     return i.HealthCheckEnded(endpoint, _status(status), latency, tuple(report[:report_length]))
 
 
-def _begin(frame: bytes, start: int, tail: int) -> Begin:
+def _begin(frame: bytes, start: int, tail: int) -> InstanceStarted:
     seed, offset, size = _BEGIN_RECORD.unpack_from(frame, start)
-    return Begin(seed, settings_from_json(_slice(frame, tail + offset, size)))
+    return InstanceStarted(seed, settings_from_json(_slice(frame, tail + offset, size)))
 
 
-def _killed(_frame: bytes, _start: int, _tail: int) -> Killed:
-    return Killed()
+def _killed(_frame: bytes, _start: int, _tail: int) -> InstanceKilled:
+    return InstanceKilled()
 
 
 def _object_purged(frame: bytes, start: int, _tail: int) -> i.ObjectPurged:
--- a/hallproxy/wire/stores.py
+++ b/hallproxy/wire/stores.py
@@ -81,13 +81,13 @@
 class PlatformProtocol:
     """The protocol between the platform's gateway and its endpoints, for the effect runner."""
 
-    most = MAX_BODY_BYTES
+    max_body_bytes = MAX_BODY_BYTES
 
     def __init__(self, settings: i.Settings) -> None:
         self.settings = settings
 
     @property
-    def pause(self) -> float:
+    def stall_timeout(self) -> float:
         """s without a byte after which a response that has begun counts as stalled.
 
         A share of the shortest latency objective: a retry may still be in time then.
--- a/tests/feed/test_feed.py
+++ b/tests/feed/test_feed.py
@@ -395,10 +395,10 @@
     assert log.events_page(3, True, False) is log.events_page(3, True, False)
     assert log.events_page(3, False, False) is log.events_page(3, False, True)  # all has been cut
     assert log.snapshot_page(True, False) is log.snapshot_page(True, False)
-    assert log.pages.built == 3
+    assert log.pages.build_count == 3
     log.apply(answer([purge(1)], 51), 0)
     log.publish()
-    assert len(read(log.events_page(3, True, False))["results"]) == 49 and log.pages.built == 4
+    assert len(read(log.events_page(3, True, False))["results"]) == 49 and log.pages.build_count == 4
 
 
 def test_a_page_is_compressed_only_where_that_is_smaller() -> None:
--- a/tests/files/test_disk.py
+++ b/tests/files/test_disk.py
@@ -10,7 +10,7 @@
 import pytest
 
 from hallproxy.files.disk import Disk
-from hallproxy.files.kept import Name
+from hallproxy.files.file_table import Name
 from hallproxy.files.messages import FileWritten, RemoveFile, WriteFile
 
 REMOVAL_DELAY = 0.05  # s, far longer than a write takes
--- a/tests/files/test_files.py
+++ b/tests/files/test_files.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hallproxy.files.kept import LARGEST, PAUSE, WRITES, Found, Kept, Name, read_name
+from hallproxy.files.file_table import LARGEST, PAUSE, WRITES, FileTable, Found, Name, read_name
 from tests.support.files_front import TEXT, fetched, named, there
 from tests.support.gateway import ROOT, Program, until
 from tests.support.repository_front import Front, serving, sha
@@ -22,8 +22,8 @@
     return Name(obj, f"{n:064x}")
 
 
-def filled(most: int, *sizes: int) -> Kept:
-    kept = Kept(most)
+def filled(most: int, *sizes: int) -> FileTable:
+    kept = FileTable(most)
     for n, size in enumerate(sizes):
         assert kept.begin(name(n), size, 0) is not None and kept.written(name(n), True, 0)
     return kept
@@ -33,7 +33,7 @@
     kept = filled(1000, 250, 250, 250, 250)
     assert kept.use(name(0))
     assert kept.begin(name(9), 200, 0) == [name(1)]
-    assert kept.written(name(9), True, 0) and not kept.use(name(1)) and kept.held == 950
+    assert kept.written(name(9), True, 0) and not kept.use(name(1)) and kept.used_bytes == 950
 
 
 @pytest.mark.parametrize("size", [0, 501, 5000])
@@ -44,19 +44,19 @@
 def test_after_a_failed_write_none_is_tried_for_a_while() -> None:
     kept = filled(1000, 100)
     assert kept.begin(name(5), 100, 0) == [] and not kept.written(name(5), False, 0)
-    assert kept.held == 100 and kept.begin(name(6), 100, PAUSE - 1) is None
+    assert kept.used_bytes == 100 and kept.begin(name(6), 100, PAUSE - 1) is None
     assert kept.begin(name(6), 100, PAUSE) == []
 
 
 def test_what_is_purged_while_it_is_written_goes_when_it_is_there() -> None:
-    kept = Kept(1000)
+    kept = FileTable(1000)
     assert kept.begin(name(1, obj=0x105), 100, 0) == []
-    assert kept.purge(0, 5) == [] and kept.held == 0
+    assert kept.purge(0, 5) == [] and kept.used_bytes == 0
     assert not kept.written(name(1, obj=0x105), True, 0) and not kept.use(name(1, obj=0x105))
 
 
 def test_a_purge_takes_a_project_or_a_whole_group() -> None:
-    kept = Kept(1000)
+    kept = FileTable(1000)
     for n, obj in enumerate((0x105, 0x105, 0x205, 0x106)):
         assert kept.begin(name(n, obj), 100, 0) == [] and kept.written(name(n, obj), True, 0)
     assert kept.purge(0x105, 0) == [name(0, 0x105), name(1, 0x105)]
@@ -64,19 +64,19 @@
 
 
 def test_few_are_written_at_once() -> None:
-    kept = Kept(10**6)
+    kept = FileTable(10**6)
     assert all(kept.begin(name(n), 10, 0) == [] for n in range(WRITES))
     assert kept.begin(name(99), 10, 0) is None
 
 
 def test_a_start_takes_in_names_and_sizes_oldest_first_and_says_what_goes() -> None:
-    kept = Kept(1000)
+    kept = FileTable(1000)
     found = [Found(str(name(n)), 250, used=100 - n) for n in range(5)]
     found += [Found(f"{name(7)}.half", 10, 1), Found("notes.txt", 10, 1), Found(str(name(8)), 0, 1)]
     found.append(Found(str(name(9)), 600, 1))
     gone = kept.recover(found)
     assert set(gone) == {f"{name(7)}.half", "notes.txt", str(name(8)), str(name(9)), str(name(4))}
-    assert list(kept.sizes) == [name(3), name(2), name(1), name(0)] and kept.held == 1000
+    assert list(kept.sizes) == [name(3), name(2), name(1), name(0)] and kept.used_bytes == 1000
 
 
 def test_names_are_read_back_and_nothing_else_is() -> None:
@@ -99,7 +99,7 @@
 @settings(max_examples=150, deadline=None)
 @given(OPS)
 def test_what_is_held_is_counted_right_and_never_over_the_bound(ops: list[tuple[str, int, int]]) -> None:
-    kept, now = Kept(1000), 0
+    kept, now = FileTable(1000), 0
     for what, n, size in ops:
         now += PAUSE // 3
         one = name(n, obj=n % 3)
@@ -114,7 +114,7 @@
             kept.drop(one)
         else:
             kept.purge(n % 3, n % 3)
-        assert kept.held == sum(kept.sizes.values()) + sum(kept.writing.values()) <= 1000
+        assert kept.used_bytes == sum(kept.sizes.values()) + sum(kept.writing.values()) <= 1000
         assert not set(kept.sizes) & set(kept.writing)
 
 
--- a/tests/files/test_small_bounds.py
+++ b/tests/files/test_small_bounds.py
@@ -8,7 +8,7 @@
 import pytest
 
 from hallproxy.files.file_cache import DiskFileCache
-from hallproxy.files.kept import Kept, Name
+from hallproxy.files.file_table import FileTable, Name
 from hallproxy.files.messages import FileWritten, RemoveFile, WriteFile
 from hallproxy.state.events import ClientRequest
 from hallproxy.state.in_flight import InFlightRequest
@@ -25,7 +25,7 @@
     def __init__(self, seed: int) -> None:
         self.drawn = random.Random(seed)
         self.state = ReducerHarness().state
-        self.cache = DiskFileCache(self.state, Kept(MAX_BYTES), LARGE)
+        self.cache = DiskFileCache(self.state, FileTable(MAX_BYTES), LARGE)
         self.pending: dict[Name, deque[WriteFile | RemoveFile]] = {}
         self.files: set[Name] = set()
 
@@ -47,7 +47,7 @@
         if succeeded:
             self.files.add(name)
         self.cache.handle(FileWritten(self.state.now, name, succeeded))
-        self.cache.kept.paused_until = 0
+        self.cache.table.paused_until = 0
 
     def store(self, name: Name, size: int) -> None:
         request = ClientRequest("id", 0, 10**9, name.object, "file", digest=name.digest)
@@ -67,8 +67,8 @@
         self.take_effects()
 
     def check(self) -> None:
-        kept = self.cache.kept
-        assert kept.held == sum(kept.sizes.values()) + sum(kept.writing.values()) <= MAX_BYTES
+        kept = self.cache.table
+        assert kept.used_bytes == sum(kept.sizes.values()) + sum(kept.writing.values()) <= MAX_BYTES
         assert not kept.sizes.keys() & kept.writing.keys()
 
 
@@ -84,5 +84,5 @@
                 disk.end_one()
                 disk.take_effects()
                 disk.check()
-            assert not disk.cache.kept.writing
-            assert disk.files == disk.cache.kept.sizes.keys()
+            assert not disk.cache.table.writing
+            assert disk.files == disk.cache.table.sizes.keys()
--- a/tests/repository/test_conformance.py
+++ b/tests/repository/test_conformance.py
@@ -183,7 +183,7 @@
 
 def test_forms_are_kept_within_their_bound(tmp_path: Path) -> None:
     from hallproxy.repository import config, serve
-    from hallproxy.repository.front import FORMS_MOST, Repository
+    from hallproxy.repository.front import MAX_RENDERED_INDEX_BYTES, Repository
     from hallproxy.run.effect_runner import EffectRunner
     from hallproxy.state.events import Response, ResponseKind
 
@@ -196,7 +196,7 @@
         body, tag = asyncio.run(made._rendered(said, index, simple.JSON, codings.IDENTITY))
         again = asyncio.run(made._rendered(said, index, simple.JSON, codings.IDENTITY))
         assert again[0] is body and len(tag) == 64
-    assert made._forms.currsize <= FORMS_MOST
+    assert made._forms.currsize <= MAX_RENDERED_INDEX_BYTES
 
 
 def test_a_large_index_reads_as_a_small_one_does() -> None:
--- a/tests/support/files_front.py
+++ b/tests/support/files_front.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hallproxy.files.kept import Name
+from hallproxy.files.file_table import Name
 from hallproxy.repository import simple
 from tests.support.repository_front import DEPLOY, PROJECT, Front, sha
 
--- a/tests/wire/test_changelog.py
+++ b/tests/wire/test_changelog.py
@@ -67,6 +67,6 @@
     assert changelog.encode_poll(7, 1_000, "log:80") == (
         b"GET /changes?since=7&timeout=1000 HTTP/1.1\r\nHost: log:80\r\n\r\n"
     )
-    assert changelog.encode_poll(7, 0, "log:80", coded=True) == (
+    assert changelog.encode_poll(7, 0, "log:80", accept_gzip=True) == (
         b"GET /changes?since=7&timeout=0 HTTP/1.1\r\nHost: log:80\r\nAccept-Encoding: gzip\r\n\r\n"
     )
--- a/tests/wire/test_simulator_events.py
+++ b/tests/wire/test_simulator_events.py
@@ -21,7 +21,7 @@
     StreamStarted,
     TimerFired,
 )
-from hallproxy.wire.simulator_events import Decoder, Killed, WireEvent
+from hallproxy.wire.simulator_events import Decoder, InstanceKilled, WireEvent
 from tests.support.simulator_frames import ENDPOINT, INSTANCE_3, batch_frame
 
 
@@ -107,14 +107,14 @@
         ),
         (struct.pack("<BQHQ", 6, 1, 2, 3), ObjectPurged(1, 2, 3)),
         (struct.pack("<BIBB", 7, 1, 9, 3), EndpointsChanged(EndpointListKind.FAILED, (), 1)),
-        (struct.pack("<B", 8), Killed()),
+        (struct.pack("<B", 8), InstanceKilled()),
         (struct.pack("<BI", 9, 7), TimerFired(7)),
         (struct.pack("<BQH6sQ", 10, 1, 2, ENDPOINT, 3), StreamStarted(1, 2, ENDPOINT, 3)),
         (struct.pack("<BQ", 11, 5), ClientDisconnected(5)),
         (struct.pack("<BHII", 13, 3, 1, 2), GossipReceived(3, b"ab")),
     ],
 )
-def test_every_kind_of_event_has_its_record(record: bytes, event: Event | Killed) -> None:
+def test_every_kind_of_event_has_its_record(record: bytes, event: Event | InstanceKilled) -> None:
     assert decode(record, b"-ab-") == event
 
 
