--- a/hallproxy/relay/upstream.py
+++ b/hallproxy/relay/upstream.py
@@ -60,15 +60,15 @@
         """The clock (ns)."""
         return self._clock()
 
-    def read(self, plain: bytes) -> dict[str, Any]:
+    def read(self, body: bytes) -> dict[str, Any]:
         """Parse a page; ChangeError if it is no JSON object."""
-        large = len(plain) > LARGE
+        large = len(body) > LARGE
         try:
             if large:
                 # Hundreds of thousands of objects that are all in use: looked through again and again while
                 # they are made, they would take twice the time.
                 gc.disable()
-            page = orjson.loads(plain)
+            page = orjson.loads(body)
         except ValueError:
             raise ChangeLogError("the change log's answer is not JSON") from None
         finally:
@@ -78,15 +78,15 @@
             raise ChangeLogError("the change log's answer is no object")
         return page
 
-    def apply(self, answer: PollResponse) -> None:
+    def apply(self, response: PollResponse) -> None:
         """Apply a page to the log; ChangeError if it cannot be used."""
         log, now = self._log, self.now()
         life, before, asks = log.incarnation, log.ring.last_number, log.poll_from
-        fields = answer.head.fields
+        fields = response.head.fields
         via, told = via_names(fields.get("via", "")), decode_age(fields.get("age", "0"))
         try:
             self._current.check_path(via)
-            came = log.apply(answer.page, now)
+            came = log.apply(response.page, now)
         except FeedError as error:
             raise ChangeLogError(str(error)) from None
         finally:
@@ -97,13 +97,13 @@
             self._confirmed.reset()
         elif came and log.ring.last_number > before:
             self._confirmed.record_arrival(log.ring.last_number, came, now)
-        self.where = answer.source
+        self.where = response.source
         self.events += came
-        self.bytes += answer.size
+        self.bytes += response.size
         if log.caught_up:
-            asked = answer.polled_at
+            asked = response.polled_at
             # Held to its end with nothing to tell, and left open: it was put together no sooner than that.
-            if not answer.page["results"] and answer.head.keep_alive and now - asked >= self._wait * MS:
+            if not response.page["results"] and response.head.keep_alive and now - asked >= self._wait * MS:
                 asked += self._wait * MS
             self._current.update(asked, told, via)
         self._changed()
--- a/hallproxy/run/change_log_follower.py
+++ b/hallproxy/run/change_log_follower.py
@@ -72,12 +72,12 @@
         """Unix ns; never goes back."""
 
     @abstractmethod
-    def apply(self, answer: PollResponse) -> None:
+    def apply(self, response: PollResponse) -> None:
         """Apply the page and set ``since``; ChangeLogError where it can't be used."""
 
-    def read(self, plain: bytes) -> dict[str, Any]:
+    def read(self, body: bytes) -> dict[str, Any]:
         """The page that the body holds; ChangeLogError where it holds none."""
-        return decode_page(plain)
+        return decode_page(body)
 
     @property
     def polled_twice(self) -> bool:
@@ -172,9 +172,9 @@
     def _apply(self, sources: Sources, raw: RawResponse) -> None:
         if raw.head.status != OK:
             raise ChangeLogError(f"answer {raw.head.status}")
-        plain = self._decode(raw)
+        body = self._decode(raw)
         try:
-            page = self.read(plain)
+            page = self.read(body)
             self.apply(PollResponse(page, raw.head, raw.polled_at, raw.source, len(raw.body)))
         except ChangeLogError as error:
             # A malformed page of one relay says nothing of gaps in the next one's.
--- a/hallproxy/run/change_log_poller.py
+++ b/hallproxy/run/change_log_poller.py
@@ -68,12 +68,12 @@
             self.has_alternatives = has_alternatives
             self.set_sources(sources)
 
-    def apply(self, answer: PollResponse) -> None:
+    def apply(self, response: PollResponse) -> None:
         """Dispatch the page's new events; ChangeLogError where it can't be used."""
-        age_ns = decode_age(answer.head.fields.get("age", "0")) if self._compressed else 0
-        self._dispatch_events(answer.page, self.polled_twice)
+        age_ns = decode_age(response.head.fields.get("age", "0")) if self._compressed else 0
+        self._dispatch_events(response.page, self.polled_twice)
         # A response with events may have been made at the moment of the poll.
-        self._runner.dispatch(WatchCaughtUp(answer.polled_at - age_ns))
+        self._runner.dispatch(WatchCaughtUp(response.polled_at - age_ns))
 
     def _dispatch_events(self, page: dict[str, Any], allow_gaps: bool, live: bool = True) -> None:
         """Dispatch the new events, each completely or not at all; of a snapshot page all or none."""
--- a/hallproxy/run/change_log_source.py
+++ b/hallproxy/run/change_log_source.py
@@ -16,11 +16,11 @@
         """The address to connect to next."""
         ...
 
-    def record_failure(self, where: Address, now: int) -> float:
+    def record_failure(self, address: Address, now: int) -> float:
         """Record a failure; returns the backoff (s) before the next connect."""
         ...
 
-    def record_success(self, where: Address, now: int) -> None:
+    def record_success(self, address: Address, now: int) -> None:
         """Record a success."""
         ...
 
@@ -43,11 +43,11 @@
         """The one address."""
         return self.address
 
-    def record_failure(self, where: Address, now: int) -> float:
+    def record_failure(self, address: Address, now: int) -> float:
         """No backoff."""
         return 0.0
 
-    def record_success(self, where: Address, now: int) -> None:
+    def record_success(self, address: Address, now: int) -> None:
         """Nothing to record."""
 
     def has_alternative(self, address: Address) -> bool:
--- a/hallproxy/run/sockets.py
+++ b/hallproxy/run/sockets.py
@@ -32,13 +32,13 @@
         if self.error is not None:
             self.error.__traceback__ = None
 
-    async def read_some(self, into: memoryview, within: float | None = None) -> int:
+    async def read_some(self, into: memoryview, timeout: float | None = None) -> int:
         """Read what there is, at least a byte; TimeoutError if none comes within so many seconds."""
         reading = self.read_into(into, partial=True)  # type: ignore[arg-type]
         try:
             # Most reads are over at once: a timer for each would cost more than they do.
-            if within is not None and isinstance(reading, asyncio.Future) and not reading.done():
-                await asyncio.wait((reading,), timeout=within)
+            if timeout is not None and isinstance(reading, asyncio.Future) and not reading.done():
+                await asyncio.wait((reading,), timeout=timeout)
                 if not reading.done():
                     reading.cancel()
                     raise TimeoutError
@@ -185,15 +185,15 @@
         self.data = bytearray(size)
         self.filled = 0
 
-    async def fill(self, source: Stream, room: int = 1, within: float | None = None) -> None:
+    async def fill(self, source: Stream, min_free: int = 1, timeout: float | None = None) -> None:
         """Read what there is, after making room for so many bytes; TimeoutError if nothing comes."""
-        if len(self.data) - self.filled < room:
-            self.data.extend(bytes(room - (len(self.data) - self.filled)))
-        self.filled += await source.read_some(memoryview(self.data)[self.filled :], within)
+        if len(self.data) - self.filled < min_free:
+            self.data.extend(bytes(min_free - (len(self.data) - self.filled)))
+        self.filled += await source.read_some(memoryview(self.data)[self.filled :], timeout)
 
-    def fill_available(self, source: Stream, most: int) -> int | None:
-        """Read without waiting up to ``most`` bytes; as ``Stream.read_available`` says."""
-        size = source.read_available(memoryview(SCRATCH)[:most])
+    def fill_available(self, source: Stream, max_bytes: int) -> int | None:
+        """Read without waiting up to ``max_bytes`` bytes; as ``Stream.read_available`` says."""
+        size = source.read_available(memoryview(SCRATCH)[:max_bytes])
         if size:
             # Only what came makes it grow: many connections rest, each with a buffer of its own.
             self.data[self.filled : self.filled + size] = SCRATCH[:size]
