--- a/tests/decisions/test_endpoint_faults.py
+++ b/tests/decisions/test_endpoint_faults.py
@@ -13,11 +13,11 @@
     Fail,
     Reject,
 )
-from tests.support.fleet import CACHES, FLEET, MS, NEAR, NEXT, ORIGIN, SECOND, Driver
+from tests.support.fleet import CACHES, FLEET, HUB_PARENTS, MS, ORIGIN, OTHER_HUB_PARENTS, SECOND, Driver
 
 
 def test_draining_endpoints_get_nothing_new_and_warming_replacements_get_load() -> None:
-    d = Driver(fleet=[*CACHES, *NEAR, ORIGIN], weights_known=True)
+    d = Driver(fleet=[*CACHES, *HUB_PARENTS, ORIGIN], weights_known=True)
     for wave in range(3):
         old = CACHES[wave]
         d.handle(EndpointsChanged(EndpointListKind.DELTA, (replace(old, state=EndpointState.DRAINING),)))
@@ -26,7 +26,7 @@
         seen = set()
         for obj in range(100):
             d.now += 40 * MS
-            seen.add(d.first(obj=1000 * wave + obj).endpoint)
+            seen.add(d.first_attempt(object_id=1000 * wave + obj).endpoint)
         assert old.id not in seen and new.id in seen
         d.handle(EndpointsChanged(EndpointListKind.DELTA, (replace(old, state=EndpointState.GONE),)))
 
@@ -36,16 +36,17 @@
     dead = {c.id for c in CACHES[:2]}
     late = []
     for obj in range(1, 200):
-        ident = d.ask(obj=obj, left=2 * SECOND)
+        ident = d.request(object_id=obj, time_left=2 * SECOND)
         d.now += 20 * MS
-        while ident in d.sent and d.sent[ident][-1].endpoint in dead and len(d.sent[ident]) < 3:
+        while ident in d.attempts and d.attempts[ident][-1].endpoint in dead and len(d.attempts[ident]) < 3:
             if any(
-                isinstance(a, Reject | Fail) for a in d.end(ident, AttemptStatus.CONNECT_FAILED, 400 * MS)
+                isinstance(a, Reject | Fail)
+                for a in d.end_attempt(ident, AttemptStatus.CONNECT_FAILED, 400 * MS)
             ):
                 break
         else:
-            d.end(ident)
-        late.append(d.sent[ident][0].endpoint in dead)
+            d.end_attempt(ident)
+        late.append(d.attempts[ident][0].endpoint in dead)
     assert sum(late[100:]) <= 8
     d.handle(
         EndpointsChanged(EndpointListKind.DELTA, tuple(replace(c, started_at=d.now) for c in CACHES[:2]))
@@ -53,7 +54,7 @@
     again = set()
     for obj in range(500, 900):
         d.now += 50 * MS
-        again.add(d.first(obj=obj).endpoint)
+        again.add(d.first_attempt(object_id=obj).endpoint)
     assert dead <= again
 
 
@@ -74,14 +75,14 @@
     for changes in (odd, odd[::-1], tuple(replace(m, state=EndpointState.GONE) for m in many), tuple(many)):
         d.handle(EndpointsChanged(EndpointListKind.DELTA, changes))
         for obj in range(1, 20):
-            ident = d.ask(obj=obj, left=2 * SECOND)
-            if ident in d.sent:
-                d.end(ident)
+            ident = d.request(object_id=obj, time_left=2 * SECOND)
+            if ident in d.attempts:
+                d.end_attempt(ident)
             else:
                 assert [
-                    a for a in d.wait(2 * SECOND) if isinstance(a, Reject | Fail) and a.request_id == ident
+                    a for a in d.advance(2 * SECOND) if isinstance(a, Reject | Fail) and a.request_id == ident
                 ]
-    assert d.sent[d.ask(obj=77)]
-    d.handle(EndpointsChanged(EndpointListKind.FULL, (*NEXT, ORIGIN)))
+    assert d.attempts[d.request(object_id=77)]
+    d.handle(EndpointsChanged(EndpointListKind.FULL, (*OTHER_HUB_PARENTS, ORIGIN)))
     d.handle(EndpointsChanged(EndpointListKind.FULL, tuple(FLEET)))
-    assert d.sent[d.ask(obj=78)]
+    assert d.attempts[d.request(object_id=78)]
--- a/tests/decisions/test_fill_shares.py
+++ b/tests/decisions/test_fill_shares.py
@@ -241,7 +241,7 @@
             gateways_by_zone=(0, 0, 0, 6, 6, 8),
             gateway_count=20,
         )
-        used = Counter(d.first(obj=obj, size=1.0).source for obj in range(1, 401))
+        used = Counter(d.first_attempt(object_id=obj, size=1.0).source for obj in range(1, 401))
         return {server: round(times / 400, 1) for server, times in used.items()}
 
     assert shares(3, [small, large]) == {b"large": 1.0}
@@ -269,5 +269,5 @@
         gateways_by_zone=routers,
         gateway_count=40,
     )
-    assert {d.first(obj=obj, size=1.0).source for obj in range(1, 100)} == {b"near"}
+    assert {d.first_attempt(object_id=obj, size=1.0).source for obj in range(1, 100)} == {b"near"}
     assert all(p.fill_share >= 0.0 for p in d.router.endpoints.by_id.values())
--- a/tests/decisions/test_invariants.py
+++ b/tests/decisions/test_invariants.py
@@ -23,7 +23,7 @@
     StartAttempt,
     TimerFired,
 )
-from tests.support.fleet import CACHES, CLIP, FLEET, MS, NEAR, ORIGIN, SECOND, SMALL, Driver
+from tests.support.fleet import CACHES, CLIP, FLEET, HUB_PARENTS, MS, ORIGIN, SECOND, SMALL, Driver
 
 NEVER_RAN = {AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT, AttemptStatus.MISS}
 STEPS = st.one_of(
@@ -69,7 +69,7 @@
                 if made is not None and d.now - made < 6 * SECOND:
                     assert 0 < a.max_age <= max(1, d.now - made) and not a.flags & FetchFlags.JOIN
                 assert a.timeout <= live[a.request_id][0] - d.now
-                out[a.request_id].append(len(d.sent[a.request_id]) - 1)
+                out[a.request_id].append(len(d.attempts[a.request_id]) - 1)
             elif isinstance(a, Reject | Fail):
                 assert a.request_id in live and a.request_id not in answered | left_early
                 assert d.now <= live[a.request_id][0]
@@ -102,7 +102,7 @@
             closed = over or extra is AttemptStatus.OK
             if extra is AttemptStatus.OK and not over:
                 answered.add(ident)
-            get = d.sent[ident][attempt]
+            get = d.attempts[ident][attempt]
             event = AttemptEnded(ident, attempt, get.endpoint, extra, 5 * MS, closed)
             tell(event)
             tell(event)  # a repeat of it is ignored
@@ -143,14 +143,16 @@
 @settings(max_examples=50, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 2000), st.floats(1.0, 5000.0)), max_size=150))
 def test_a_warming_cache_never_gets_more_than_its_budget(asks: list[tuple[int, float]]) -> None:
-    d = Driver(fleet=[replace(CACHES[0], started_at=1_000 * SECOND), *NEAR, ORIGIN], weights_known=True)
+    d = Driver(
+        fleet=[replace(CACHES[0], started_at=1_000 * SECOND), *HUB_PARENTS, ORIGIN], weights_known=True
+    )
     sent: list[tuple[int, float]] = []
     for gap, size in asks:
         d.now += gap * MS // 10
-        ident = d.ask(obj=gap, size=size)
+        ident = d.request(object_id=gap, size=size)
         work = d.router.latency.class_sending_times[0]
-        if ident in d.sent:
+        if ident in d.attempts:
             sent.append((d.now, work))
-            d.end(ident)
+            d.end_attempt(ident)
         share = min(1.0, 0.2 + 0.8 * (d.now - 1_000 * SECOND) / (15 * SECOND))
         assert sum(w for t, w in sent if t > d.now - SECOND) <= 3.0 * share * 10.0
--- a/tests/decisions/test_other_deployments.py
+++ b/tests/decisions/test_other_deployments.py
@@ -14,7 +14,7 @@
 from hallproxy.state import effects, events
 from hallproxy.wire.frames import SERVED
 from hallproxy.wire.simulator_settings import settings_from_json
-from tests.support.fleet import CACHES, CLIP, MS, NEAR, ORIGIN, SECOND, SMALL, Driver
+from tests.support.fleet import CACHES, CLIP, HUB_PARENTS, MS, ORIGIN, SECOND, SMALL, Driver
 from tests.support.gateway import Platform, now_ms, platform_settings, until
 from tests.support.reducer import ReducerHarness
 
@@ -22,7 +22,7 @@
 def answer_others(d: Driver, times: int = 120) -> None:
     """Enough answers to tell which ones are long, some from each cache."""
     for obj in range(5000, 5000 + times):
-        d.end(d.ask(obj=obj, size=10.0), latency=20 * MS)
+        d.end_attempt(d.request(object_id=obj, size=10.0), latency=20 * MS)
         d.now += MS
 
 
@@ -42,11 +42,11 @@
     )
     answer_others(d)
     d.router.overdue.late_share = 0.0  # what stays away here gets lost
-    ident = d.ask(obj=1, size=10.0)
+    ident = d.request(object_id=1, size=10.0)
     out_at_once = 0
     for _ in range(40):
         answer_others(d, 4)
-        d.wait(50 * MS)
+        d.advance(50 * MS)
         entry = d.router.requests.get(ident)
         out_at_once = max(out_at_once, len(entry.attempts) if entry else 0)
     assert out_at_once == 1 if most == 1 else out_at_once >= most
@@ -68,7 +68,7 @@
             break
         core.dispatch(events.ConnectionOpened(core.now, link.connection))
         awaiting = len(core.state.awaiting_response)
-        opened = core.request(awaiting + 1, obj=awaiting + 7)
+        opened = core.request(awaiting + 1, object_id=awaiting + 7)
     done = core.advance(core.state.settings.connect_timeout + MS)
     kinds = [
         (type(e), getattr(e, "connection", 0))
@@ -87,20 +87,20 @@
     joins: bool, fresh: int, flags: FetchFlags
 ) -> None:
     d = Driver(joins_fills=joins, classes=(replace(CLIP, fresh_for=fresh), SMALL))
-    assert {d.first(obj=obj).flags for obj in range(1, 20)} == {flags}
+    assert {d.first_attempt(object_id=obj).flags for obj in range(1, 20)} == {flags}
 
 
 @pytest.mark.parametrize("direct", [False, True])
 def test_a_source_answers_itself_only_where_that_is_allowed_and_no_cache_is_left(direct: bool) -> None:
     d = Driver(direct_to_source=direct)
     caches = {c.id for c in CACHES}
-    assert all(d.first(obj=obj).endpoint in caches for obj in range(1, 20))
-    lost = Driver(fleet=[*NEAR, ORIGIN], direct_to_source=direct)
-    ident = lost.ask(obj=1)
-    assert (ident in lost.sent) == direct
+    assert all(d.first_attempt(object_id=obj).endpoint in caches for obj in range(1, 20))
+    lost = Driver(fleet=[*HUB_PARENTS, ORIGIN], direct_to_source=direct)
+    ident = lost.request(object_id=1)
+    assert (ident in lost.attempts) == direct
     if direct:
-        assert lost.sent[ident][0].endpoint in {p.id for p in NEAR}
-        assert lost.sent[ident][0].source == lost.sent[ident][0].endpoint
+        assert lost.attempts[ident][0].endpoint in {p.id for p in HUB_PARENTS}
+        assert lost.attempts[ident][0].source == lost.attempts[ident][0].endpoint
 
 
 def test_an_origin_that_rejects_gets_retries_within_the_budget_and_clients_are_answered_at_once() -> None:
@@ -109,18 +109,18 @@
     answer_others(d, 40)
     asked, refused = [], 0
     for obj in range(100, 700):
-        ident = d.ask(obj=obj, size=10.0)
+        ident = d.request(object_id=obj, size=10.0)
         for _ in range(8):
             entry = d.router.requests.get(ident)
             if entry is None or not entry.attempts:
                 break
-            get = d.sent[ident][-1]
+            get = d.attempts[ident][-1]
             asked.append(obj) if get.source != get.endpoint else None
-            told = d.end(
+            told = d.end_attempt(
                 ident, AttemptStatus.FULL if get.source != get.endpoint else AttemptStatus.MISS, 2 * MS
             )
             refused += any(isinstance(a, Reject) and a.request_id == ident for a in told)
-        d.wait(5 * MS)
+        d.advance(5 * MS)
     assert len(asked) <= 600 * (1 + RETRY_SHARE) + RETRY_BURST and refused > 400
 
 
@@ -131,16 +131,16 @@
         settings["specifics"] |= {"joins": False, "may_pass_by": True, "fresh_for_ns": [0, 0, 0, 0]}
         settings["specifics"] |= {"purge_grace_ns": 10**9}
 
-    platform = Platform(tmp_path, changed=lean).start()
+    platform = Platform(tmp_path, change_settings=lean).start()
     try:
         client = platform.client()
-        stream = client.ask(row=7)
-        frame = client.read()
+        stream = client.send_request(row=7)
+        frame = client.read_frame()
         assert frame is not None and frame[1] == stream and frame[2][0] == SERVED
-        platform.tell(invalidate={"object": f"{7:016x}", "time": now_ms()})
-        client.ask(row=7)
-        until(lambda: len(platform.seen) == 2)
-        first, second = platform.seen
+        platform.publish(invalidate={"object": f"{7:016x}", "time": now_ms()})
+        client.send_request(row=7)
+        until(lambda: len(platform.requests) == 2)
+        first, second = platform.requests
         assert "x-flags" not in first.fields and "x-max-age-ms" not in first.fields
         assert int(second.fields["x-max-age-ms"]) >= 1 and "x-flags" not in second.fields
     finally:
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -5,17 +5,17 @@
 from hallproxy.interface import (
     Endpoint,
 )
-from tests.support.fleet import CACHES, FLEET, MS, NEAR, NEXT, ORIGIN, Driver
+from tests.support.fleet import CACHES, FLEET, HUB_PARENTS, MS, ORIGIN, OTHER_HUB_PARENTS, Driver
 
 
 def test_the_hash_is_stable_when_a_cache_leaves() -> None:
     before, after = Driver(), Driver(fleet=[m for m in FLEET if m.id != CACHES[2].id])
     moved = 0
     for obj in range(1, 80):
-        a = before.sent[before.ask(obj=obj)][0].endpoint
-        b = after.sent[after.ask(obj=obj)][0].endpoint
-        before.end(obj)
-        after.end(obj)
+        a = before.attempts[before.request(object_id=obj)][0].endpoint
+        b = after.attempts[after.request(object_id=obj)][0].endpoint
+        before.end_attempt(obj)
+        after.end_attempt(obj)
         moved += a != b
         assert a == b or a == CACHES[2].id
     assert moved > 5
@@ -25,9 +25,9 @@
     d = Driver()
     used = set()
     for part in range(20):
-        ident = d.ask(obj=1, part=part)
-        used.add(d.sent[ident][0].endpoint)
-        d.end(ident)
+        ident = d.request(object_id=1, part=part)
+        used.add(d.attempts[ident][0].endpoint)
+        d.end_attempt(ident)
     assert len(used) == len(CACHES)
 
 
@@ -38,38 +38,38 @@
         d = Driver()
         heard: set[bytes] = set()
         for obj in range(1, 40):
-            ident = d.ask(obj=obj)
-            source = d.sent[ident][0].source
+            ident = d.request(object_id=obj)
+            source = d.attempts[ident][0].source
             if len(heard) < 2 and source in heard:
                 continue  # left in flight: one time of each
             heard.add(source)
-            d.end(ident, latency=(500 if source == long else 60) * MS)
+            d.end_attempt(ident, latency=(500 if source == long else 60) * MS)
             if len(heard) == 2:
                 break
-        chosen.append([d.sent[d.ask(obj=obj)][0].source for obj in range(100, 120)])
+        chosen.append([d.attempts[d.request(object_id=obj)][0].source for obj in range(100, 120)])
     assert chosen[0] == chosen[1]
 
 
 def test_sources_are_near_parents_then_the_next_hub_then_the_origin() -> None:
     def used(fleet: list[Endpoint]) -> set[bytes]:
         d = Driver(fleet=fleet)
-        return {d.first(obj=obj).source for obj in range(1, 40)}
+        return {d.first_attempt(object_id=obj).source for obj in range(1, 40)}
 
-    assert used(FLEET) == {p.id for p in NEAR}
-    assert used([*CACHES, *NEXT, ORIGIN]) == {NEXT[0].id}
+    assert used(FLEET) == {p.id for p in HUB_PARENTS}
+    assert used([*CACHES, *OTHER_HUB_PARENTS, ORIGIN]) == {OTHER_HUB_PARENTS[0].id}
     assert used([*CACHES, ORIGIN]) == {ORIGIN.id}
 
 
 def test_a_near_parent_over_twice_the_lowest_first_byte_time_gets_no_fills() -> None:
     d = Driver()
-    fast, slow = (d.router.endpoints.by_id[p.id] for p in NEAR)
+    fast, slow = (d.router.endpoints.by_id[p.id] for p in HUB_PARENTS)
     fast.first_byte_time, slow.first_byte_time = 50.0 * MS, 120.0 * MS
-    assert {d.first(obj=obj).source for obj in range(1, 20)} == {NEAR[0].id}
+    assert {d.first_attempt(object_id=obj).source for obj in range(1, 20)} == {HUB_PARENTS[0].id}
     fast.first_byte_time, slow.first_byte_time = 50.0 * MS, 99.0 * MS
-    assert {d.first(obj=obj).source for obj in range(40, 70)} == {p.id for p in NEAR}
+    assert {d.first_attempt(object_id=obj).source for obj in range(40, 70)} == {p.id for p in HUB_PARENTS}
 
 
 def test_a_part_in_demand_by_all_at_once_spreads_past_the_load_bound() -> None:
     d = Driver()
-    servers = [d.sent[d.ask(obj=1)][0].endpoint for _ in range(24)]
+    servers = [d.attempts[d.request(object_id=1)][0].endpoint for _ in range(24)]
     assert len(set(servers[:3])) == 1 and len(set(servers)) >= 2
--- a/tests/decisions/test_queueing.py
+++ b/tests/decisions/test_queueing.py
@@ -17,14 +17,14 @@
     ident = d.next_id
     actions = d.handle(Request(ident, 0, 300 * MS, object=1, size_kb=400.0))  # takes 400 ms to send
     d.next_id += 1
-    assert [type(a) for a in actions if not isinstance(a, SetTimer)] == [Reject] and ident not in d.sent
-    assert d.sent[d.ask(size=5.0, left=15 * MS)]
+    assert [type(a) for a in actions if not isinstance(a, SetTimer)] == [Reject] and ident not in d.attempts
+    assert d.attempts[d.request(size=5.0, time_left=15 * MS)]
 
 
 def test_a_long_queue_is_not_searched_at_every_event() -> None:
     d = Driver(cancellation=False)
     for obj in range(1, 400):
-        d.ask(obj=obj)
+        d.request(object_id=obj)
     assert len(d.router.queue.queued) > 200
     checked = 0
     original = d.router.concurrency.is_at_limit
@@ -41,9 +41,9 @@
 
 def test_no_timer_is_set_for_requests_that_are_answered() -> None:
     d = Driver()
-    d.serve(200)
-    d.wait(SECOND)  # past the checks of overdue attempts too
+    d.serve_objects(200)
+    d.advance(SECOND)  # past the checks of overdue attempts too
     calls, original = [], d.router.handle
     d.router.handle = lambda now, events: calls.append(now) or original(now, events)  # type: ignore
-    d.wait(20 * SECOND)
+    d.advance(20 * SECOND)
     assert not d.router.queue.deadlines and not d.timers and len(calls) < 3
--- a/tests/decisions/test_request_counts.py
+++ b/tests/decisions/test_request_counts.py
@@ -29,7 +29,7 @@
 
 def test_a_queued_request_survives_the_ageing_of_a_full_count_table() -> None:
     driver = Driver(fleet=())
-    request_id = driver.ask(obj=1)
+    request_id = driver.request(object_id=1)
     assert list(driver.router.queue.queued) == [request_id]
     for repeat in range(4):  # one request halved three times is under the least count
         overflow_counts(driver, 1_000_000 * (repeat + 1))
--- a/tests/decisions/test_router.py
+++ b/tests/decisions/test_router.py
@@ -17,13 +17,13 @@
     def play(d: Driver) -> list[object]:
         log: list[object] = []
         for n in range(120):
-            ident = d.ask(obj=n % 17, part=n % 3)
+            ident = d.request(object_id=n % 17, part=n % 3)
             d.now += 7 * MS
-            log += d.end(ident, AttemptStatus.ERROR if n % 5 == 0 else AttemptStatus.OK)
-        return [*log, d.sent]
+            log += d.end_attempt(ident, AttemptStatus.ERROR if n % 5 == 0 else AttemptStatus.OK)
+        return [*log, d.attempts]
 
     alone = play(Driver())
     a, b = Driver(), Driver()
-    b.serve(40, first=500)
+    b.serve_objects(40, first_object=500)
     b.handle(EndpointsChanged(EndpointListKind.DELTA, (replace(CACHES[0], state=EndpointState.DRAINING),)))
     assert play(a) == alone
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -34,10 +34,10 @@
     CLIP,
     FAR_CACHE,
     FLEET,
+    HUB_PARENTS,
     MS,
-    NEAR,
-    NEXT,
     ORIGIN,
+    OTHER_HUB_PARENTS,
     SECOND,
     SETTINGS,
     SMALL,
@@ -52,34 +52,36 @@
 
 def test_an_empty_list_answers_each_request_in_time_and_recovers() -> None:
     d = Driver(fleet=())
-    d.ask(left=2 * SECOND)
-    assert not d.sent
-    answers = finals(d.wait(2 * SECOND))
+    d.request(time_left=2 * SECOND)
+    assert not d.attempts
+    answers = finals(d.advance(2 * SECOND))
     assert [a.request_id for a in answers] == [1]
     d.handle(EndpointsChanged(EndpointListKind.FULL, tuple(FLEET)))
-    assert d.sent[d.ask()]
+    assert d.attempts[d.request()]
 
 
 def test_a_request_whose_attempt_never_ends_is_answered_before_the_deadline_and_cancelled() -> None:
     d = Driver()
-    ident = d.ask(left=2 * SECOND)
-    actions = d.wait(2 * SECOND)
+    ident = d.request(time_left=2 * SECOND)
+    actions = d.advance(2 * SECOND)
     assert [a.request_id for a in finals(actions)] == [ident]
     assert [a for a in actions if isinstance(a, CancelAttempt)] == [CancelAttempt(ident, 0)]
-    assert finals(d.end(ident, AttemptStatus.CANCELLED)) == []
+    assert finals(d.end_attempt(ident, AttemptStatus.CANCELLED)) == []
 
 
 def test_nothing_is_started_after_the_client_disconnected() -> None:
     d = Driver()
-    ident = d.ask()
+    ident = d.request()
     d.handle(ClientDisconnected(ident))
-    assert not [a for a in d.end(ident, AttemptStatus.ERROR) if isinstance(a, StartAttempt | Reject | Fail)]
+    assert not [
+        a for a in d.end_attempt(ident, AttemptStatus.ERROR) if isinstance(a, StartAttempt | Reject | Fail)
+    ]
 
 
 def test_unknown_and_finished_things_are_ignored() -> None:
     d = Driver()
-    ident = d.ask()
-    d.end(ident)
+    ident = d.request()
+    d.end_attempt(ident)
     for event in (
         AttemptEnded(ident, 0, CACHES[0].id, AttemptStatus.ERROR, MS),
         AttemptEnded(999, 3, b"nobody", AttemptStatus.OK, MS),
@@ -97,17 +99,17 @@
     status: AttemptStatus,
 ) -> None:
     d = Driver(classes=(replace(CLIP, idempotency=Idempotency.NOT_IDEMPOTENT), SMALL))
-    ident = d.ask()
-    assert finals(d.end(ident, status)) == [Fail(ident)]
-    assert len(d.sent[ident]) == 1
+    ident = d.request()
+    assert finals(d.end_attempt(ident, status)) == [Fail(ident)]
+    assert len(d.attempts[ident]) == 1
 
 
 @pytest.mark.parametrize("status", [AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.MISS])
 def test_a_request_that_is_not_idempotent_and_never_ran_is_retried(status: AttemptStatus) -> None:
     d = Driver(classes=(replace(CLIP, idempotency=Idempotency.NOT_IDEMPOTENT), SMALL))
-    ident = d.ask()
-    d.end(ident, status)
-    assert len(d.sent[ident]) == 2
+    ident = d.request()
+    d.end_attempt(ident, status)
+    assert len(d.attempts[ident]) == 2
 
 
 def test_a_request_with_an_idempotency_key_stays_in_its_scope_and_window() -> None:
@@ -115,17 +117,17 @@
     keyed = replace(
         CLIP, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_scope=Scope.CELL, idempotency_window=SECOND
     )
-    d = Driver(fleet=[*cells, *NEAR, ORIGIN], classes=(keyed, SMALL))
+    d = Driver(fleet=[*cells, *HUB_PARENTS, ORIGIN], classes=(keyed, SMALL))
     cell_of = {c.id: c.cell for c in cells}
     for obj in range(1, 16):
-        ident = d.ask(obj=obj)
+        ident = d.request(object_id=obj)
         d.now += 10 * MS
-        d.end(ident, AttemptStatus.RESET)
-        again = d.sent[ident]
+        d.end_attempt(ident, AttemptStatus.RESET)
+        again = d.attempts[ident]
         assert len({cell_of[g.endpoint] for g in again}) == 1 and len(again) == 2
         d.now += 2 * SECOND
-        assert finals(d.end(ident, AttemptStatus.ERROR)) == [Fail(ident)]
-        assert len(d.sent[ident]) == 2
+        assert finals(d.end_attempt(ident, AttemptStatus.ERROR)) == [Fail(ident)]
+        assert len(d.attempts[ident]) == 2
 
 
 def test_rejecting_a_request_with_a_key_that_may_have_run_needs_the_scope_of_all() -> None:
@@ -133,21 +135,21 @@
         CLIP, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_scope=Scope.ALL, idempotency_window=20 * MS
     )
     d = Driver(classes=(keyed, SMALL))
-    ident = d.ask()
+    ident = d.request()
     d.now += SECOND
-    assert [type(a) for a in finals(d.end(ident, AttemptStatus.ERROR))] == [Reject]
+    assert [type(a) for a in finals(d.end_attempt(ident, AttemptStatus.ERROR))] == [Reject]
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_a_draining_or_gone_endpoint_is_chosen_neither_as_cache_nor_as_source(state: EndpointState) -> None:
     d = Driver()
-    out = [CACHES[1], NEAR[0]]
+    out = [CACHES[1], HUB_PARENTS[0]]
     d.handle(EndpointsChanged(EndpointListKind.DELTA, tuple(replace(m, state=state) for m in out)))
     for obj in range(1, 60):
-        ident = d.ask(obj=obj)
-        d.end(ident)
-    named = {g.endpoint for gets in d.sent.values() for g in gets} | {
-        g.source for gets in d.sent.values() for g in gets
+        ident = d.request(object_id=obj)
+        d.end_attempt(ident)
+    named = {g.endpoint for gets in d.attempts.values() for g in gets} | {
+        g.source for gets in d.attempts.values() for g in gets
     }
     assert named.isdisjoint(m.id for m in out) and len(named) > 3
 
@@ -156,7 +158,7 @@
     d = Driver()
     d.handle(EndpointsChanged(EndpointListKind.FULL, (CACHES[0], ORIGIN)))
     for obj in range(1, 30):
-        get = d.first(obj=obj)
+        get = d.first_attempt(object_id=obj)
         assert (get.endpoint, get.source) == (CACHES[0].id, ORIGIN.id)
 
 
@@ -166,8 +168,8 @@
     gateways: int, what: str
 ) -> None:
     """The load is far above the budget; what all gateways send in any second stays inside it."""
-    cold = replace(CACHES[0] if what == "cache" else NEAR[0], started_at=START)
-    fleet = [cold, *NEAR, ORIGIN] if what == "cache" else [*CACHES, cold, ORIGIN]
+    cold = replace(CACHES[0] if what == "cache" else HUB_PARENTS[0], started_at=START)
+    fleet = [cold, *HUB_PARENTS, ORIGIN] if what == "cache" else [*CACHES, cold, ORIGIN]
     fleet_settings: dict[str, Any] = {
         "weights_known": True,
         "gateways_by_zone": (0, 0, gateways, 0),
@@ -181,11 +183,11 @@
         for n in range(rate):
             d = drivers[(tick * rate + n) % gateways]
             d.now = START + tick * 100 * MS
-            ident = d.ask(obj=tick * rate + n + 1, left=600 * MS)
-            if ident in d.sent:
-                get = d.sent[ident][0]
+            ident = d.request(object_id=tick * rate + n + 1, time_left=600 * MS)
+            if ident in d.attempts:
+                get = d.attempts[ident][0]
                 sent += [tick] * (cold.id in (get.endpoint, get.source))
-                d.end(ident)
+                d.end_attempt(ident)
     for start in range(80):
         work = 0.4 * sum(start <= tick < start + 10 for tick in sent)
         assert work <= multiple * (least + (1 - least) * start / 10 / time) * cold.weight * 1.05
@@ -201,10 +203,10 @@
 ) -> None:
     """N attempts a window by the settings, and 2 x root of N + 2 over it. Each gateway knows only its own."""
     gateways, far, draw = 30, 15 if what == "parent of two hubs" else 0, random.Random(3)
-    cold = replace(CACHES[0] if what == "cache" else NEAR[0], started_at=START, weight=weight)
-    others = [CACHES[1], *NEAR] if what == "cache" else [*CACHES]
+    cold = replace(CACHES[0] if what == "cache" else HUB_PARENTS[0], started_at=START, weight=weight)
+    others = [CACHES[1], *HUB_PARENTS] if what == "cache" else [*CACHES]
     if far:
-        others += [FAR_CACHE, replace(NEXT[0], weight=1.0)]
+        others += [FAR_CACHE, replace(OTHER_HUB_PARENTS[0], weight=1.0)]
     fleet_settings: dict[str, Any] = {"weights_known": True, "gateways_by_zone": (0, 0, gateways - far, far)}
     drivers = [
         Driver(
@@ -224,11 +226,11 @@
         for n in range((40 if pattern == "flood" else 180) if burst else 6 if pattern == "thin" else 0):
             d = drivers[draw.randrange(gateways)]
             d.now = max(d.now, START + tick * 100 * MS)
-            ident = d.ask(obj=1_000 * tick + n, left=3000 * MS)
-            if ident in d.sent:
-                get = d.sent[ident][0]
+            ident = d.request(object_id=1_000 * tick + n, time_left=3000 * MS)
+            if ident in d.attempts:
+                get = d.attempts[ident][0]
                 sent += [tick] * (cold.id in (get.endpoint, get.source))
-                d.end(ident)
+                d.end_attempt(ident)
     assert sent
     for start in range(100):
         budget = multiple * (least + (1 - least) * start / 10 / time) * weight / 0.4
@@ -236,34 +238,34 @@
 
 
 def test_what_a_warming_parent_may_not_take_goes_to_the_next_hub() -> None:
-    cold = [replace(p, started_at=START) for p in NEAR]
-    d = Driver(fleet=[*CACHES, *cold, *NEXT, ORIGIN], weights_known=True, gateway_count=50)
-    assert NEXT[0].id in {d.first(obj=obj).source for obj in range(1, 60)}
-    d.wait(22 * SECOND)
-    assert {d.first(obj=obj).source for obj in range(1, 60)} == {p.id for p in NEAR}
+    cold = [replace(p, started_at=START) for p in HUB_PARENTS]
+    d = Driver(fleet=[*CACHES, *cold, *OTHER_HUB_PARENTS, ORIGIN], weights_known=True, gateway_count=50)
+    assert OTHER_HUB_PARENTS[0].id in {d.first_attempt(object_id=obj).source for obj in range(1, 60)}
+    d.advance(22 * SECOND)
+    assert {d.first_attempt(object_id=obj).source for obj in range(1, 60)} == {p.id for p in HUB_PARENTS}
 
 
 def test_after_a_purge_every_attempt_carries_the_time_since_it_and_joins_nothing() -> None:
     d = Driver()
     d.handle(ObjectPurged(5, 0, 100 * MS))
     d.now += 300 * MS
-    ident = d.ask(obj=5, part=3)
-    first = d.sent[ident][0]
+    ident = d.request(object_id=5, part=3)
+    first = d.attempts[ident][0]
     assert 0 < first.max_age <= 400 * MS and not first.flags & FetchFlags.JOIN
     d.now += 500 * MS
-    d.end(ident, AttemptStatus.ERROR)
-    second = d.sent[ident][1]
+    d.end_attempt(ident, AttemptStatus.ERROR)
+    second = d.attempts[ident][1]
     assert first.max_age < second.max_age <= 900 * MS and not second.flags & FetchFlags.JOIN
-    assert d.sent[d.ask(obj=6)][0].max_age == 0
+    assert d.attempts[d.request(object_id=6)][0].max_age == 0
     d.now += 10 * SECOND
-    assert d.sent[d.ask(obj=5)][0].max_age == 0
+    assert d.attempts[d.request(object_id=5)][0].max_age == 0
 
 
 def test_a_group_purge_covers_its_objects_and_a_fresh_time_bounds_the_age() -> None:
     d = Driver()
     d.handle(ObjectPurged(0, 9, 30 * SECOND))
     d.now += 10 * MS
-    get = d.sent[d.ask(obj=5, cls=1, group=9, left=2 * SECOND)][0]
+    get = d.attempts[d.request(object_id=5, class_index=1, group=9, time_left=2 * SECOND)][0]
     assert get.max_age == SMALL.fresh_for and not get.flags & (FetchFlags.JOIN | FetchFlags.REVALIDATE)
 
 
@@ -272,14 +274,14 @@
     d.handle(*(ObjectPurged(n, 0, 0) for n in range(1, 6000)))
     d.now += 50 * MS
     for obj in (1, 5999, 70_000):
-        assert 0 < d.sent[d.ask(obj=obj)][0].max_age <= 50 * MS
+        assert 0 < d.attempts[d.request(object_id=obj)][0].max_age <= 50 * MS
 
 
 def test_without_hedging_no_second_attempt_is_in_flight() -> None:
     d = Driver()
-    ident = d.ask()
-    d.wait(4 * SECOND)
-    assert len(d.sent[ident]) == 1
+    ident = d.request()
+    d.advance(4 * SECOND)
+    assert len(d.attempts[ident]) == 1
 
 
 def test_a_failed_poll_is_repeated() -> None:
@@ -287,7 +289,7 @@
     d.handle(TimerFired(0))
     again = d.handle(EndpointsChanged(EndpointListKind.FAILED))
     assert not [a for a in again if isinstance(a, PollEndpointList)]
-    assert [a for a in d.wait(5 * SECOND) if isinstance(a, PollEndpointList)] == [PollEndpointList()]
+    assert [a for a in d.advance(5 * SECOND) if isinstance(a, PollEndpointList)] == [PollEndpointList()]
 
 
 @pytest.mark.parametrize(
--- a/tests/files/test_files.py
+++ b/tests/files/test_files.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 
 from hallproxy.files.kept import LARGEST, PAUSE, WRITES, Found, Kept, Name, read_name
-from tests.support.files_front import TEXT, fetched, named, there
+from tests.support.files_front import FILES_CONFIG, cached_file_name, cached_files, upstream_downloads
 from tests.support.gateway import ROOT, Program, until
-from tests.support.repository_front import Front, serving, sha
+from tests.support.repository_front import Front, sha256_hex, stop_after_test
 
 
 def name(n: int, obj: int = 1) -> Name:
@@ -123,11 +123,11 @@
 
 @pytest.fixture
 def shelf(tmp_path: Path) -> Iterator[Front]:
-    yield from serving(Front(tmp_path).start(text=TEXT))
+    yield from stop_after_test(Front(tmp_path).start(text=FILES_CONFIG))
 
 
 def take(front: Front, file: str = "a-1.whl") -> bytes:
-    got = front.get(front.urls()[file])
+    got = front.get(front.file_urls()[file])
     assert got.status == 200, got
     return got.body
 
@@ -145,13 +145,16 @@
 @pytest.mark.parametrize("kill", [False, True])
 def test_a_restarted_front_serves_files_from_the_disk(shelf: Front, kill: bool) -> None:
     body = take(shelf)
-    until(lambda: there(shelf) == [named(body)])
+    until(lambda: cached_files(shelf) == [cached_file_name(body)])
     again(shelf, kill)
-    got = shelf.get(shelf.urls()["a-1.whl"], Range="bytes=10-19")
-    assert got.status == 206 and got.body == body[10:20] and got.fields["etag"] == f'"{sha(body)}"'
-    assert take(shelf) == body and fetched(shelf) == 1
-    tag = f'"{sha(body)}"'
-    assert shelf.get(shelf.urls()["a-1.whl"], If_None_Match=tag).status == 304 and fetched(shelf) == 1
+    got = shelf.get(shelf.file_urls()["a-1.whl"], Range="bytes=10-19")
+    assert got.status == 206 and got.body == body[10:20] and got.fields["etag"] == f'"{sha256_hex(body)}"'
+    assert take(shelf) == body and upstream_downloads(shelf) == 1
+    tag = f'"{sha256_hex(body)}"'
+    assert (
+        shelf.get(shelf.file_urls()["a-1.whl"], If_None_Match=tag).status == 304
+        and upstream_downloads(shelf) == 1
+    )
 
 
 @pytest.mark.parametrize(
@@ -159,49 +162,49 @@
 )
 def test_bytes_that_are_not_what_the_name_says_never_go_out(shelf: Front, wrong: bytes) -> None:
     body = take(shelf)
-    until(lambda: there(shelf) == [named(body)])
+    until(lambda: cached_files(shelf) == [cached_file_name(body)])
     assert shelf.program.stop() == 0
-    (shelf.path / "kept" / named(body)).write_bytes(wrong)
-    (shelf.path / "kept" / f"{named(b'x')}.half").write_bytes(b"half of it")
+    (shelf.path / "kept" / cached_file_name(body)).write_bytes(wrong)
+    (shelf.path / "kept" / f"{cached_file_name(b'x')}.half").write_bytes(b"half of it")
     shelf.program = Program("repository", str(shelf.path / "repository.toml"))
-    assert take(shelf) == body and fetched(shelf) == 2
-    kept = shelf.path / "kept" / named(body)
-    until(lambda: there(shelf) == [kept.name] and kept.read_bytes() == body)
+    assert take(shelf) == body and upstream_downloads(shelf) == 2
+    kept = shelf.path / "kept" / cached_file_name(body)
+    until(lambda: cached_files(shelf) == [kept.name] and kept.read_bytes() == body)
 
 
 def test_a_file_that_vanished_is_asked_for_again(shelf: Front) -> None:
     body = take(shelf)
-    until(lambda: there(shelf) == [named(body)])
+    until(lambda: cached_files(shelf) == [cached_file_name(body)])
     again(shelf)
-    (shelf.path / "kept" / named(body)).unlink()
-    assert take(shelf) == body and fetched(shelf) == 2
+    (shelf.path / "kept" / cached_file_name(body)).unlink()
+    assert take(shelf) == body and upstream_downloads(shelf) == 2
 
 
 def test_a_purge_takes_the_files_of_its_project_too(shelf: Front) -> None:
     body = take(shelf)
-    until(lambda: there(shelf) == [named(body)])
+    until(lambda: cached_files(shelf) == [cached_file_name(body)])
     shelf.purge()
-    until(lambda: there(shelf) == [])
-    assert take(shelf) == body and fetched(shelf) == 2
+    until(lambda: cached_files(shelf) == [])
+    assert take(shelf) == body and upstream_downloads(shelf) == 2
 
 
 def test_what_the_index_does_not_name_any_more_is_not_served_from_the_disk(shelf: Front) -> None:
-    url = shelf.urls()["a-1.whl"]
+    url = shelf.file_urls()["a-1.whl"]
     body = take(shelf)
-    until(lambda: there(shelf) == [named(body)])
+    until(lambda: cached_files(shelf) == [cached_file_name(body)])
     again(shelf)
-    shelf.stands[0].files["a-1.whl"] = b"c" * 3000
+    shelf.upstreams[0].files["a-1.whl"] = b"c" * 3000
     got = shelf.get(url)
     assert got.status == 410 and body not in got.body
 
 
 def test_a_disk_that_takes_nothing_costs_no_answer(shelf: Front) -> None:
-    body = shelf.stands[0].files["a-1.whl"]
-    (shelf.path / "kept" / f"{named(body)}.half").mkdir()
+    body = shelf.upstreams[0].files["a-1.whl"]
+    (shelf.path / "kept" / f"{cached_file_name(body)}.half").mkdir()
     assert take(shelf) == body
     until(lambda: any("can't be written" in line for line in shelf.program.lines))
-    assert take(shelf, "b-1.whl") == shelf.stands[0].files["b-1.whl"]
-    assert named(body) not in there(shelf)
+    assert take(shelf, "b-1.whl") == shelf.upstreams[0].files["b-1.whl"]
+    assert cached_file_name(body) not in cached_files(shelf)
     assert (
         sum("can't be written" in line for line in shelf.program.lines) == 1
     )  # a pause, not a line for each
@@ -230,5 +233,5 @@
 )
 def test_files_that_make_no_sense_are_one_line(tmp_path: Path, old: str, new: str, says: str) -> None:
     path = tmp_path / "r.toml"
-    path.write_text(TEXT.replace(old, new))
+    path.write_text(FILES_CONFIG.replace(old, new))
     refused(path, says)
--- a/tests/files/test_large_files.py
+++ b/tests/files/test_large_files.py
@@ -14,9 +14,9 @@
 import pytest
 
 from hallproxy.files.resume import Part, begins_at, on_from, strong
-from tests.support.files_front import TEXT, fetched, named, there
-from tests.support.gateway import Program, Seen, response, until
-from tests.support.repository_front import Front, serving
+from tests.support.files_front import FILES_CONFIG, cached_file_name, cached_files, upstream_downloads
+from tests.support.gateway import Program, ReceivedRequest, response, until
+from tests.support.repository_front import Front, stop_after_test
 
 MB = 1024 * 1024
 BODY = bytes(range(256)) * 6144  # 1.5 MB, over large_mb
@@ -27,19 +27,19 @@
 @pytest.fixture
 def shelf(tmp_path: Path) -> Iterator[Front]:
     front = Front(tmp_path)
-    front.stands[0].files[LARGE] = BODY
-    yield from serving(front.start(text=TEXT))
+    front.upstreams[0].files[LARGE] = BODY
+    yield from stop_after_test(front.start(text=FILES_CONFIG))
 
 
 def url(front: Front) -> str:
-    return front.urls()[LARGE]
+    return front.file_urls()[LARGE]
 
 
-def whole(seen: Seen) -> bytes:
+def whole(seen: ReceivedRequest) -> bytes:
     return response(200, BODY, ETag=TAG)
 
 
-def rest(seen: Seen, body: bytes = BODY) -> bytes | None:
+def rest(seen: ReceivedRequest, body: bytes = BODY) -> bytes | None:
     """What an upstream that knows ranges says to the request for a rest; None: it asked for the whole."""
     asked = re.fullmatch(r"bytes=(\d+)-", seen.fields.get("range", ""))
     if asked is None:
@@ -49,11 +49,13 @@
     return response(206, body[first:], **told)
 
 
-def breaks(front: Front, offset: int, then: Callable[[Seen], bytes], tag: str = TAG) -> list[Seen]:
+def breaks(
+    front: Front, offset: int, then: Callable[[ReceivedRequest], bytes], tag: str = TAG
+) -> list[ReceivedRequest]:
     """The first transfer ends after so many bytes of the body; the ones behind it are as ``then`` says."""
-    seen_all: list[Seen] = []
+    seen_all: list[ReceivedRequest] = []
 
-    def hook(seen: Seen) -> bytes | None:
+    def hook(seen: ReceivedRequest) -> bytes | None:
         if not seen.path.startswith("/pool/"):
             return b"pass"
         seen_all.append(seen)
@@ -62,7 +64,7 @@
         said = response(200, BODY, ETag=tag) if tag else response(200, BODY)
         return said[: said.index(b"\r\n\r\n") + 4 + offset]
 
-    front.stands[0].hook = hook
+    front.upstreams[0].hook = hook
     return seen_all
 
 
@@ -73,7 +75,7 @@
     assert got.status == 200 and got.body == BODY
     assert [s.fields.get("range") for s in seen] == [None, f"bytes={offset}-"]
     assert seen[1].fields["if-range"] == TAG
-    until(lambda: there(shelf) == [named(BODY)])
+    until(lambda: cached_files(shelf) == [cached_file_name(BODY)])
 
 
 @pytest.mark.parametrize("tag", ["", 'W/"v1"', "v1"])
@@ -83,25 +85,25 @@
     assert [s.fields.get("range") for s in seen] == [None, None]
 
 
-def other_rest(seen: Seen) -> bytes:
+def other_rest(seen: ReceivedRequest) -> bytes:
     return rest(seen, BODY[:-1] + b"?") or whole(seen)
 
 
-def other_whole(seen: Seen) -> bytes:
+def other_whole(seen: ReceivedRequest) -> bytes:
     return response(200, b"?" * len(BODY), ETag='"v2"')
 
 
-def ignored(seen: Seen) -> bytes:
+def ignored(seen: ReceivedRequest) -> bytes:
     return whole(seen)
 
 
-def wrong_part(seen: Seen) -> bytes:
+def wrong_part(seen: ReceivedRequest) -> bytes:
     first = int(seen.fields["range"][6:-1]) + 1 if "range" in seen.fields else 0
     told = f"bytes {first}-{len(BODY) - 1}/{len(BODY)}"
     return response(206, BODY[first:], Content_Range=told) if first else whole(seen)
 
 
-def not_there(seen: Seen) -> bytes:
+def not_there(seen: ReceivedRequest) -> bytes:
     return response(416) if "range" in seen.fields else whole(seen)
 
 
@@ -110,51 +112,51 @@
     [(ignored, 200), (other_rest, 200), (other_whole, 410), (wrong_part, 200), (not_there, 200)],
 )
 def test_whatever_upstream_says_to_a_range_no_mixed_bytes_go_out(
-    shelf: Front, then: Callable[[Seen], bytes], status: int
+    shelf: Front, then: Callable[[ReceivedRequest], bytes], status: int
 ) -> None:
     breaks(shelf, 70_000, then)
     got = shelf.get(url(shelf))
     assert got.status == status and (got.body == BODY) == (status == 200)
-    until(lambda: there(shelf) == ([named(BODY)] if status == 200 else []))
+    until(lambda: cached_files(shelf) == ([cached_file_name(BODY)] if status == 200 else []))
 
 
 def test_a_purge_in_the_middle_of_a_file_has_it_asked_for_again(shelf: Front) -> None:
     go, came = threading.Event(), threading.Event()
 
-    def hook(seen: Seen) -> bytes | None:
+    def hook(seen: ReceivedRequest) -> bytes | None:
         if seen.path.startswith("/pool/") and not came.is_set():
             came.set()
             assert go.wait(20)
         return b"pass"
 
     path, got = url(shelf), []
-    shelf.stands[0].hook = hook
+    shelf.upstreams[0].hook = hook
     asking = threading.Thread(target=lambda: got.append(shelf.get(path)))
     asking.start()
     assert came.wait(20)
     shelf.purge()
     go.set()
     asking.join()
-    assert got[0].status == 200 and got[0].body == BODY and fetched(shelf, LARGE) == 2
+    assert got[0].status == 200 and got[0].body == BODY and upstream_downloads(shelf, LARGE) == 2
 
 
 def test_a_length_that_was_too_long_ends_as_an_error_and_leaves_nothing(shelf: Front) -> None:
     short = response(200, BODY, ETag=TAG)[:-10]
-    shelf.stands[0].hook = lambda seen: short if seen.path.startswith("/pool/") else b"pass"
+    shelf.upstreams[0].hook = lambda seen: short if seen.path.startswith("/pool/") else b"pass"
     assert shelf.get(url(shelf)).status in (502, 503, 504)
-    assert named(BODY) not in there(shelf)
+    assert cached_file_name(BODY) not in cached_files(shelf)
 
 
 def test_who_asks_meanwhile_waits_for_the_one_fetch_and_the_first_may_leave(shelf: Front) -> None:
     path, go, came = url(shelf), threading.Event(), threading.Event()
 
-    def hook(seen: Seen) -> bytes | None:
+    def hook(seen: ReceivedRequest) -> bytes | None:
         if seen.path.startswith("/pool/"):
             came.set()
             assert go.wait(20)
         return b"pass"
 
-    shelf.stands[0].hook = hook
+    shelf.upstreams[0].hook = hook
     first = socket.create_connection(("127.0.0.1", shelf.program.port))
     first.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     assert came.wait(20)
@@ -166,7 +168,7 @@
     go.set()
     for thread in threads:
         thread.join()
-    assert got == [BODY] * 30 and fetched(shelf, LARGE) == 1
+    assert got == [BODY] * 30 and upstream_downloads(shelf, LARGE) == 1
 
 
 def test_a_fetch_that_failed_is_taken_up_by_one_of_those_who_wait(shelf: Front) -> None:
@@ -188,7 +190,7 @@
     assert slow.recv(1) == b"H"
     for _ in range(5):
         assert shelf.get(path).body == BODY
-    assert fetched(shelf, LARGE) == 1
+    assert upstream_downloads(shelf, LARGE) == 1
     rest_of, more = b"H", b"x"
     while len(rest_of) < 20_000 and (more := slow.recv(65536)):  # a little: its window is tiny
         rest_of += more
@@ -215,17 +217,17 @@
 
 def test_a_large_file_is_checked_once_after_a_restart_and_one_that_rotted_is_fetched(shelf: Front) -> None:
     assert shelf.get(url(shelf)).body == BODY
-    until(lambda: there(shelf) == [named(BODY)])
+    until(lambda: cached_files(shelf) == [cached_file_name(BODY)])
     shelf.program.process.send_signal(signal.SIGKILL)
     shelf.program.wait()
-    (shelf.path / "kept" / f"{named(BODY)}.3.part").write_bytes(BODY[:1000])
+    (shelf.path / "kept" / f"{cached_file_name(BODY)}.3.part").write_bytes(BODY[:1000])
     shelf.program = Program("repository", str(shelf.path / "repository.toml"))
-    assert shelf.get(url(shelf)).body == BODY and fetched(shelf, LARGE) == 1
-    assert there(shelf) == [named(BODY)]
+    assert shelf.get(url(shelf)).body == BODY and upstream_downloads(shelf, LARGE) == 1
+    assert cached_files(shelf) == [cached_file_name(BODY)]
     assert shelf.program.stop() == 0
-    (shelf.path / "kept" / named(BODY)).write_bytes(BODY[:-1] + b"?")
+    (shelf.path / "kept" / cached_file_name(BODY)).write_bytes(BODY[:-1] + b"?")
     shelf.program = Program("repository", str(shelf.path / "repository.toml"))
-    assert shelf.get(url(shelf)).body == BODY and fetched(shelf, LARGE) == 2
+    assert shelf.get(url(shelf)).body == BODY and upstream_downloads(shelf, LARGE) == 2
 
 
 def test_a_disk_that_fills_gives_an_answer_and_no_half_file(shelf: Front) -> None:
@@ -234,7 +236,7 @@
     got = shelf.get(path)
     assert got.status in (200, 503) and (got.status != 200 or got.body == BODY)
     until(lambda: any("can't be written" in line for line in shelf.program.lines))
-    until(lambda: there(shelf) == [])
+    until(lambda: cached_files(shelf) == [])
     assert shelf.get(path).body == BODY  # under file_most_mb: in memory while the disk is left alone
 
 
@@ -242,8 +244,10 @@
     """64 MB through a front whose bound for files in memory is 1 MB."""
     body = b"0123456789abcdef" * (4 * MB)
     front = Front(tmp_path)
-    front.stands[0].files = {LARGE: body}
-    text = TEXT.replace("file_most_mb = 16", "file_most_mb = 1").replace("most_mb = 4\n", "most_mb = 256\n")
+    front.upstreams[0].files = {LARGE: body}
+    text = FILES_CONFIG.replace("file_most_mb = 16", "file_most_mb = 1").replace(
+        "most_mb = 4\n", "most_mb = 256\n"
+    )
     front.start(text=text)
     try:
         path = url(front)
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -23,7 +23,7 @@
 from hallproxy.lab.capacity.roles import ROLES, ROWS
 from hallproxy.lab.capacity.rows import KINDS, Figure, Mechanism, Need, Slopes, Worked, num, row_line
 from hallproxy.lab.capacity.size import SIZE
-from tests.support.capacity_runs import run_of
+from tests.support.capacity_runs import run_tiny
 from tests.support.gateway import ROOT
 
 MACHINE = {"cpu": "a processor", "cores": 8, "memory_mb": 16_000, "kernel": "6.1", "python": "3.11.7"}
@@ -473,7 +473,7 @@
 
 def test_each_size_runs_in_a_process_of_its_own(scripted: Callable[..., Path], tmp_path: Path) -> None:
     noted = scripted("assert not list(run.where.iterdir()); (run.where / 'x').touch(); return {'y': size}")
-    status, _, lines = run_of(tmp_path / "out.jsonl")
+    status, _, lines = run_tiny(tmp_path / "out.jsonl")
     assert status == 0 and [(one.x, one.values) for one in lines] == [(x, {"y": x}) for x in (1, 2, 3, 4)]
     assert len(set(noted.read_text().split())) == 4
     assert {one.version["commit"] for one in lines} != {""} and lines[0].machine.keys() == MACHINE.keys()
@@ -487,7 +487,7 @@
     hang = f"c = {CHILD}; Path({str(tmp_path / 'child')!r}).write_text(str(c.pid)); time.sleep(600)"
     noted = scripted(f"if size != 2: return {{'y': size}}\n    {hang}", minutes=2 / 60)
     began = time.monotonic()
-    status, output, lines = run_of(tmp_path / "out.jsonl")
+    status, output, lines = run_tiny(tmp_path / "out.jsonl")
     assert time.monotonic() - began < 60
     assert status == 1 and "failed: m at 2: over its limit of 2 s" in output
     assert [one.failed for one in lines] == ["", "over its limit of 2 s", "", ""]
@@ -497,7 +497,7 @@
 
 def test_one_that_leaves_a_process_has_failed(scripted: Callable[..., Path], tmp_path: Path) -> None:
     scripted(f"c = {CHILD}; Path({str(tmp_path / 'child')!r}).write_text(str(c.pid)); return {{'y': size}}")
-    status, output, lines = run_of(tmp_path / "out.jsonl")
+    status, output, lines = run_tiny(tmp_path / "out.jsonl")
     assert status == 1 and {one.failed for one in lines} == {"left 1 processes running"}
     assert not alive(int((tmp_path / "child").read_text()))
 
@@ -520,5 +520,5 @@
     scripted: Callable[..., Path], tmp_path: Path, what: str, why: str
 ) -> None:
     scripted(what)
-    status, output, lines = run_of(tmp_path / "out.jsonl")
+    status, output, lines = run_tiny(tmp_path / "out.jsonl")
     assert status == 1 and [one.failed for one in lines] == [why] * 4 and f"failed: m at 1: {why}" in output
--- a/tests/lab/test_capacity_tiny_run.py
+++ b/tests/lab/test_capacity_tiny_run.py
@@ -17,7 +17,7 @@
 from hallproxy.lab.capacity import results, runner
 from hallproxy.lab.capacity.__main__ import PAGE, RESULTS
 from hallproxy.lab.capacity.catalogue import catalogue
-from tests.support.capacity_runs import run_of
+from tests.support.capacity_runs import run_tiny
 from tests.support.gateway import ROOT, until
 
 LONGEST = 600.0
@@ -72,10 +72,10 @@
 
 
 def test_a_name_that_there_is_not_and_tiny_lines_for_the_results_are_refused(tmp_path: Path) -> None:
-    status, output, lines = run_of(tmp_path / "out.jsonl", "no.such")
+    status, output, lines = run_tiny(tmp_path / "out.jsonl", "no.such")
     assert status == 2 and "no.such" in output and not lines
     before = RESULTS.read_bytes()
-    status, output, _ = run_of(RESULTS)
+    status, output, _ = run_tiny(RESULTS)
     assert status == 2 and RESULTS.read_bytes() == before
 
 
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -19,7 +19,7 @@
 from hallproxy.feed import GROUPS
 from hallproxy.feed.event_ring import is_snapshot
 from hallproxy.relay.front import MAX_STATUS_CONNECTIONS
-from tests.support.gateway import DEADLINE, ROOT, ChangeLog, Program, member, now_ms, until
+from tests.support.gateway import DEADLINE, ROOT, ChangeLog, Program, instance_record, now_ms, until
 
 Answer = tuple[int, dict[str, str], Any]
 
@@ -119,7 +119,7 @@
 
 
 def a_list(*names: str, reset: bool = False, generation: int = 1) -> dict[str, Any]:
-    lines = [member(name, "127.0.0.1:1", "std") for name in names]
+    lines = [instance_record(name, "127.0.0.1:1", "std") for name in names]
     return {"fleet": {"generation": generation, "reset": reset, "instances": lines}}
 
 
--- a/tests/repository/test_conformance.py
+++ b/tests/repository/test_conformance.py
@@ -16,21 +16,22 @@
 
 from hallproxy.lab import conformance
 from hallproxy.repository import codings, ranges, simple
-from tests.support.gateway import Seen, response
-from tests.support.repository_front import DEPLOY, PROJECT, Front, sha
+from tests.support.gateway import ReceivedRequest, response
+from tests.support.repository_front import DEPLOY, PROJECT, Front, sha256_hex
 
 METADATA = b"Metadata-Version: 2.1\nName: charger-fw\nVersion: 1.0\n"
 WHEEL, SOURCE = "charger_fw-1.0-py3-none-any.whl", "charger_fw-0.9.tar.gz"
 BODIES = {WHEEL: bytes(range(256)) * 20, SOURCE: b"source" * 700}
 ENTRIES: list[dict[str, Any]] = [
     {
-        "filename": WHEEL, "url": f"/pool/{WHEEL}", "hashes": {"sha256": sha(BODIES[WHEEL]), "md5": "x"},
+        "filename": WHEEL, "url": f"/pool/{WHEEL}",
+        "hashes": {"sha256": sha256_hex(BODIES[WHEEL]), "md5": "x"},
         "requires-python": '>=3.8,<4 "&"', "size": len(BODIES[WHEEL]),
-        "upload-time": "2026-01-02T03:04:05.678900Z", "core-metadata": {"sha256": sha(METADATA)},
+        "upload-time": "2026-01-02T03:04:05.678900Z", "core-metadata": {"sha256": sha256_hex(METADATA)},
         "gpg-sig": False, "provenance": "https://provenance.example/charger_fw-1.0?a=1&b=2",
     },
     {
-        "filename": SOURCE, "url": f"../../pool/{SOURCE}", "hashes": {"sha256": sha(BODIES[SOURCE])},
+        "filename": SOURCE, "url": f"../../pool/{SOURCE}", "hashes": {"sha256": sha256_hex(BODIES[SOURCE])},
         "yanked": "bad & <worse>", "size": len(BODIES[SOURCE]), "core-metadata": True,
     },
 ]  # fmt: skip
@@ -51,14 +52,14 @@
         more = ""
         if "requires-python" in entry:
             more = f' data-requires-python="{html.escape(entry["requires-python"])}" data-gpg-sig="true"'
-            more += f' data-dist-info-metadata="sha256={sha(METADATA)}" data-provenance="https://p.example/x"'
+            more += f' data-dist-info-metadata="sha256={sha256_hex(METADATA)}" data-provenance="https://p.example/x"'
         if "yanked" in entry:
             more = f' data-yanked="{html.escape(entry["yanked"])}"'
         lines.append(f'<a href="{entry["url"]}#sha256={digest}"{more}>{entry["filename"]}</a>')
     return "\n".join(lines).encode()
 
 
-def upstream(seen: Seen, top: dict[str, Any], form: str) -> bytes | None:
+def upstream(seen: ReceivedRequest, top: dict[str, Any], form: str) -> bytes | None:
     name = seen.path.rsplit("/", 1)[1]
     if seen.path == f"/simple/{PROJECT}/":
         if form == "html":
@@ -73,7 +74,7 @@
 
 @pytest.mark.parametrize("form", ["json", "html"])
 def test_every_point_holds(front: Front, form: str) -> None:
-    front.stands[0].hook = lambda seen: upstream(seen, TOP, form)
+    front.upstreams[0].hook = lambda seen: upstream(seen, TOP, form)
     front.start()
     lines = conformance.run(conformance.Asker("127.0.0.1", front.program.port, PROJECT))
     assert not [line for line in lines if line.verdict == "failed"], lines
@@ -93,11 +94,11 @@
 
 
 def test_metadata_that_does_not_match_is_never_served(front: Front) -> None:
-    front.stands[0].hook = lambda seen: (
+    front.upstreams[0].hook = lambda seen: (
         response(200, b"other bytes") if seen.path.endswith(".metadata") else upstream(seen, TOP, "json")
     )
     front.start()
-    url = front.urls()[WHEEL]
+    url = front.file_urls()[WHEEL]
     got = front.get(url + ".metadata")
     assert got.status == 410 and f"/simple/{PROJECT}/" in got.fields["link"]
     assert front.get(url).body == BODIES[WHEEL]
@@ -110,14 +111,14 @@
     top = {k: v for k, v in TOP.items() if k != "project-status"}
     if status:
         top["project-status"] = {"status": status}
-    front.stands[0].hook = lambda seen: upstream(seen, top, "json")
+    front.upstreams[0].hook = lambda seen: upstream(seen, top, "json")
     front.start()
     got = json.loads(front.get(f"/simple/{PROJECT}/", Accept=simple.JSON).body)
     assert len(got["files"]) == names
     assert got.get("project-status") == (
         {"status": status} if status in ("quarantined", "archived") else None
     )
-    url = f"/files/{PROJECT}/{sha(BODIES[WHEEL])}/{WHEEL}"
+    url = f"/files/{PROJECT}/{sha256_hex(BODIES[WHEEL])}/{WHEEL}"
     assert front.get(url).status == (200 if names else 404)
 
 
--- a/tests/repository/test_degraded.py
+++ b/tests/repository/test_degraded.py
@@ -12,9 +12,9 @@
 from hallproxy.state.limits import Limits
 from hallproxy.state.local_cache import CacheKey, LocalCacheEntry
 from hallproxy.state.negative_cache import NegativeCache
-from tests.support.gateway import Seen, response, until
+from tests.support.gateway import ReceivedRequest, response, until
 from tests.support.reducer import MS, SECOND, ReducerHarness
-from tests.support.repository_front import DEPLOY, PROJECT, Front, Got
+from tests.support.repository_front import DEPLOY, PROJECT, Front, FrontResponse
 
 SHORT = DEPLOY.replace("fresh_for_ns = [10_000_000_000, 0]", "fresh_for_ns = [300_000_000, 0]")
 PATH = f"/simple/{PROJECT}/"
@@ -23,14 +23,14 @@
 ASK_INTERVAL = 0.05  # s; a front whose loop lags admits 50 requests a second at least, whatever it sheds
 
 
-def ask(front: Front) -> Got:
+def ask(front: Front) -> FrontResponse:
     """Request the index, at a rate that a front on a busy machine never sheds."""
     time.sleep(ASK_INTERVAL)
     return front.get(PATH, Accept=simple.JSON)
 
 
 def broken(front: Front) -> None:
-    front.stands[0].hook = lambda _: response(500)
+    front.upstreams[0].hook = lambda _: response(500)
 
 
 def kept(front: Front) -> str:
@@ -49,7 +49,7 @@
     broken(front)
     got = until(lambda: (g := ask(front)).fields.get("cache-status") and g)
     assert got.status == 200 and got.fields["etag"] == tag and "stale-if-error" in got.fields["cache-status"]
-    front.stands[0].hook = None
+    front.upstreams[0].hook = None
     fresh = ask(front)
     assert fresh.status == 200 and "cache-status" not in fresh.fields
 
@@ -78,19 +78,19 @@
 def test_what_upstream_says_it_lacks_is_no_failure_to_help_over(front: Front) -> None:
     front.start(SHORT.replace("absent_ms = 1000", "absent_ms = 0"))
     kept(front)
-    front.stands[0].hook = lambda _: response(404)
+    front.upstreams[0].hook = lambda _: response(404)
     assert until(lambda: ask(front).status == 404)
 
 
 def test_an_unknown_project_asks_upstream_no_more_until_a_purge(front: Front) -> None:
     front.start(DEPLOY.replace("absent_ms = 1000", "absent_ms = 60_000"))
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     stand.hook = lambda _: response(404)
     assert ask(front).status == 404
-    asked = len(stand.http.seen)
+    asked = len(stand.http.requests)
     for _ in range(5):
         assert ask(front).status == 404
-    assert len(stand.http.seen) == asked
+    assert len(stand.http.requests) == asked
     stand.hook = None
     front.purge()
     assert ask(front).status == 200
@@ -99,10 +99,10 @@
 @pytest.mark.timing("an index is fresh for 0.3 s")
 def test_an_index_past_its_time_is_renewed_by_condition(front: Front) -> None:
     """And bytes come again once upstream calls it by another tag, or forgets what a condition is."""
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     tags = ['W/"one"']
 
-    def reply(seen: Seen) -> bytes | None:
+    def reply(seen: ReceivedRequest) -> bytes | None:
         if seen.path != PATH:
             return b"pass"
         if seen.fields.get("if-none-match") == tags[0]:
@@ -114,7 +114,7 @@
     tag = kept(front)
 
     def conditions() -> list[str]:
-        return [s.fields["if-none-match"] for s in stand.http.seen if "if-none-match" in s.fields]
+        return [s.fields["if-none-match"] for s in stand.http.requests if "if-none-match" in s.fields]
 
     def asks() -> bool:
         assert ask(front).fields["etag"] == tag
@@ -125,9 +125,9 @@
     tags[0] = '"two"'
     assert until(lambda: ask(front).fields["etag"] != tag)
     front.purge()
-    asked = len(stand.http.seen)
+    asked = len(stand.http.requests)
     ask(front)
-    assert "if-none-match" not in stand.http.seen[asked].fields  # what was purged is asked for whole
+    assert "if-none-match" not in stand.http.requests[asked].fields  # what was purged is asked for whole
 
 
 @pytest.mark.parametrize("tag", ['"a b"', "bare", '"x', 'W/ "x"', '"' + "x" * 300 + '"', '"\x7f"'])
@@ -180,7 +180,7 @@
     core.dispatch(events.WatchCaughtUp(core.now))
 
     def ask(caller: int) -> list[effects.Effect]:
-        return core.request(caller, obj=7)
+        return core.request(caller, object_id=7)
 
     opened = next(e for e in ask(1) if isinstance(e, effects.OpenConnection))
     core.dispatch(events.ConnectionOpened(core.now, opened.connection))
--- a/tests/repository/test_pip.py
+++ b/tests/repository/test_pip.py
@@ -18,8 +18,8 @@
 import pytest
 import trustme
 
-from tests.support.gateway import Seen, response
-from tests.support.repository_front import PROJECT, Front, Stand, sha
+from tests.support.gateway import ReceivedRequest, response
+from tests.support.repository_front import PROJECT, Front, RepositoryStandIn, sha256_hex
 from tests.support.tls import start_with_certificate
 
 MODULE = PROJECT.replace("-", "_")
@@ -45,7 +45,7 @@
 class Releases:
     """The stand's index in JSON: each file with its digest, metadata file, and what PEP 592 and 503 tell."""
 
-    def __init__(self, stand: Stand) -> None:
+    def __init__(self, stand: RepositoryStandIn) -> None:
         self.stand = stand
         self.told: dict[str, dict[str, object]] = {}
         self.metadata: dict[str, bytes] = {}
@@ -58,11 +58,11 @@
         self.told[name] = told
         return name
 
-    def _reply(self, seen: Seen) -> bytes | None:
+    def _reply(self, seen: ReceivedRequest) -> bytes | None:
         if seen.path == f"/simple/{PROJECT}/":
             files = [
-                {"filename": n, "url": f"/pool/{n}", "hashes": {"sha256": sha(b)},
-                 "core-metadata": {"sha256": sha(self.metadata[n])}, **self.told[n]}
+                {"filename": n, "url": f"/pool/{n}", "hashes": {"sha256": sha256_hex(b)},
+                 "core-metadata": {"sha256": sha256_hex(self.metadata[n])}, **self.told[n]}
                 for n, b in self.stand.files.items()
             ]  # fmt: skip
             top = {"meta": {"api-version": "1.1"}, "name": PROJECT, "files": files, "versions": []}
@@ -84,8 +84,8 @@
 
 @pytest.fixture
 def releases(front: Front) -> tuple[Front, Releases]:
-    front.stands[0].files = {}
-    return front, Releases(front.stands[0])
+    front.upstreams[0].files = {}
+    return front, Releases(front.upstreams[0])
 
 
 def test_pip_takes_the_newest_it_may_and_checks_its_digest(
@@ -100,9 +100,9 @@
     done = pip(front, tmp_path / "got", PROJECT)
     assert done.returncode == 0, done.stderr
     got = {p.name: p.read_bytes() for p in (tmp_path / "got").iterdir()}
-    assert got == {chosen: front.stands[0].files[chosen]}
+    assert got == {chosen: front.upstreams[0].files[chosen]}
     # PEP 658: the metadata file was enough to choose; only the chosen wheel's bytes were asked for.
-    asked = [s.path for s in front.stands[0].http.seen if s.path.startswith("/pool/")]
+    asked = [s.path for s in front.upstreams[0].http.requests if s.path.startswith("/pool/")]
     assert [p for p in asked if p.endswith(".whl")] == [f"/pool/{chosen}"]
 
 
@@ -124,8 +124,8 @@
     front, told = releases
     name = told.add("1.0")
     front.start()
-    named = front.stands[0].files[name]
-    front.stands[0].indexed = None
+    named = front.upstreams[0].files[name]
+    front.upstreams[0].indexed = None
     swapped = wheel("1.0", b"# other bytes\n")[1]
     told.stand.hook = lambda seen, real=told._reply: (  # type: ignore[misc]
         response(200, swapped) if seen.path == f"/pool/{name}" else real(seen)
--- a/tests/repository/test_repository.py
+++ b/tests/repository/test_repository.py
@@ -18,20 +18,28 @@
 
 from hallproxy.repository import simple
 from hallproxy.run import contracts
-from tests.support.gateway import ROOT, ChangeLog, Seen, now_ms, response, until
-from tests.support.repository_front import DEPLOY, PROJECT, Front, Got, Stand, auth, sha
+from tests.support.gateway import ROOT, ChangeLog, ReceivedRequest, now_ms, response, until
+from tests.support.repository_front import (
+    DEPLOY,
+    PROJECT,
+    Front,
+    FrontResponse,
+    RepositoryStandIn,
+    basic_auth,
+    sha256_hex,
+)
 
 
 @pytest.mark.parametrize("html", [False, True])
 def test_index_and_files_in_both_forms(front: Front, html: bool) -> None:
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     stand.html = html
     front.start()
-    for name, url in front.urls().items():
+    for name, url in front.file_urls().items():
         got = front.get(url)
-        assert got.status == 200 and got.body == stand.files[name] and sha(got.body) in url
+        assert got.status == 200 and got.body == stand.files[name] and sha256_hex(got.body) in url
     page = front.get(f"/simple/{PROJECT}/").body.decode()
-    assert re.findall(r'href="([^"#]+)#sha256=', page) == list(front.urls().values())
+    assert re.findall(r'href="([^"#]+)#sha256=', page) == list(front.file_urls().values())
     assert front.get("/simple/").body.count(PROJECT.encode()) == 2
     moved = front.get("/simple/Charger_FW")
     assert (moved.status, moved.fields["location"]) == (301, f"/simple/{PROJECT}/")
@@ -39,7 +47,7 @@
 
 def test_conditions_heads_and_what_is_not_served(front: Front) -> None:
     front.start()
-    url = front.urls()["a-1.whl"]
+    url = front.file_urls()["a-1.whl"]
     for path in (f"/simple/{PROJECT}/", url):
         got = front.get(path)
         assert got.fields["cache-control"] == "no-cache"
@@ -57,9 +65,9 @@
 
 def test_a_large_file_comes_whole(front: Front) -> None:
     """Guards against a stream's own limit on what it reads, which a large body went over."""
-    front.stands[0].files = {"big-1.whl": bytes(range(256)) * 12_000}
+    front.upstreams[0].files = {"big-1.whl": bytes(range(256)) * 12_000}
     front.start()
-    assert front.get(front.urls()["big-1.whl"]).body == front.stands[0].files["big-1.whl"]
+    assert front.get(front.file_urls()["big-1.whl"]).body == front.upstreams[0].files["big-1.whl"]
 
 
 def test_pip_takes_a_file_through_it(front: Front, tmp_path: Path) -> None:
@@ -73,7 +81,7 @@
         wheel.writestr(meta + "METADATA", "Metadata-Version: 2.1\nName: charger-fw\nVersion: 1.0\n")
         wheel.writestr(meta + "WHEEL", "Wheel-Version: 1.0\nRoot-Is-Purelib: true\nTag: py3-none-any\n")
         wheel.writestr(meta + "RECORD", "")
-    front.stands[0].files = {name: data.getvalue()}
+    front.upstreams[0].files = {name: data.getvalue()}
     front.start()
     ran = subprocess.run(
         [sys.executable, "-m", "pip", "--isolated", "download", "--no-deps", "--no-cache-dir",
@@ -87,15 +95,15 @@
 
 
 def test_an_index_swapped_halfway_never_gives_mixed_bytes(front: Front) -> None:
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     front.start()
-    urls = front.urls()
+    urls = front.file_urls()
     assert front.get(urls["a-1.whl"]).body == b"a" * 3000
     stand.files = {"a-1.whl": b"A" * 3000, "b-1.whl": b"B" * 5000}
     got = front.get(urls["b-1.whl"])
     assert got.status == 410 and "read the index again" in got.body.decode()
     assert got.fields["link"] == f'</simple/{PROJECT}/>; rel="index"'
-    again = front.urls()
+    again = front.file_urls()
     assert again["b-1.whl"] != urls["b-1.whl"]
     assert front.get(again["b-1.whl"]).body == b"B" * 5000
     assert front.get(urls["a-1.whl"]).status == 410
@@ -103,36 +111,36 @@
 
 def test_an_index_kept_here_does_not_go_on_naming_what_is_gone(front: Front) -> None:
     """A client sent back to the index must not be given the same old one."""
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     front.start()
     for _ in range(4):  # asked for often enough to be kept
-        urls = front.urls()
+        urls = front.file_urls()
     stand.files["b-1.whl"] = b"B" * 5000
     assert front.get(urls["b-1.whl"]).status == 410
-    assert front.get(front.urls()["b-1.whl"]).body == b"B" * 5000
+    assert front.get(front.file_urls()["b-1.whl"]).body == b"B" * 5000
 
 
 def test_a_purge_between_index_and_file(front: Front) -> None:
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     front.start()
     for _ in range(4):
-        urls = front.urls()
+        urls = front.file_urls()
         front.get(urls["a-1.whl"])
     stand.files["a-1.whl"] = b"A" * 3000
     purged = front.purge()
-    asked = len(stand.http.seen)
+    asked = len(stand.http.requests)
     got = front.get(urls["a-1.whl"])
     assert got.status == 410
-    assert any(s.at_ms >= purged for s in stand.http.seen[asked:])
-    assert front.get(front.urls()["a-1.whl"]).body == b"A" * 3000
+    assert any(s.at_ms >= purged for s in stand.http.requests[asked:])
+    assert front.get(front.file_urls()["a-1.whl"]).body == b"A" * 3000
 
 
 def test_what_was_under_way_at_a_purge_is_asked_for_again(front: Front) -> None:
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     front.start()
     gate, came = threading.Event(), threading.Event()
 
-    def hold(seen: Seen) -> bytes | None:
+    def hold(seen: ReceivedRequest) -> bytes | None:
         said = stand._index()  # made before the purge
         if not came.is_set():
             came.set()
@@ -142,7 +150,7 @@
         return said
 
     stand.hook = hold
-    got: list[Got] = []
+    got: list[FrontResponse] = []
     asking = threading.Thread(target=lambda: got.append(front.get(f"/simple/{PROJECT}/", Accept=simple.JSON)))
     asking.start()
     assert came.wait(5)
@@ -150,16 +158,16 @@
     front.purge()
     gate.set()
     asking.join()
-    assert got[0].status == 200 and sha(b"A" * 3000) in got[0].body.decode()
+    assert got[0].status == 200 and sha256_hex(b"A" * 3000) in got[0].body.decode()
 
 
 def test_a_cache_upstream_can_not_pass_off_an_old_copy(front: Front) -> None:
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     front.start()
     front.purge()
     stand.hook = lambda _: stand._index().replace(b"\r\n", b"\r\nAge: 30\r\n", 1)
     assert front.get(f"/simple/{PROJECT}/").status in (502, 503, 504)
-    assert "max-age" in stand.http.seen[-1].fields["cache-control"]
+    assert "max-age" in stand.http.requests[-1].fields["cache-control"]
 
 
 def files_of_version(number: int) -> dict[str, bytes]:
@@ -171,7 +179,7 @@
 ) -> None:
     """Read the index and each file that it names; note when each was asked for and the version got."""
     asked = time.monotonic()
-    urls = front.urls()
+    urls = front.file_urls()
     for url in urls.values():
         answers.append((asked, versions[url.split("/")[3]]))
     for url in urls.values():
@@ -179,7 +187,7 @@
         got = front.get(url)
         if got.status == 200:
             numbers = set(got.body.split())
-            if len(numbers) != 1 or sha(got.body) not in url:
+            if len(numbers) != 1 or sha256_hex(got.body) not in url:
                 faults.append(f"mixed bytes {numbers}")
             answers.append((asked, int(numbers.pop())))
         elif got.status != 410:
@@ -188,7 +196,7 @@
 
 def test_every_answer_is_younger_than_the_purges_heard(front: Front) -> None:
     """Clients read on while the files are swapped and purged over and over."""
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     front.start()
     heard: list[tuple[float, int]] = []  # when the gateway had heard; the version current from then on
     answers: list[tuple[float, int]] = []  # when asked for; the version got
@@ -199,7 +207,7 @@
         while not done.is_set():
             read_once(front, versions, answers, faults)
 
-    versions = {sha(data): n for n in range(9) for data in files_of_version(n).values()}
+    versions = {sha256_hex(data): n for n in range(9) for data in files_of_version(n).values()}
     stand.files = files_of_version(0)
     readers = [threading.Thread(target=read) for _ in range(3)]
     for reader in readers:
@@ -228,9 +236,9 @@
 
 
 def test_upstream_dying_mid_file_is_tried_again_or_plainly_said(front: Front) -> None:
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     front.start()
-    url = front.urls()["a-1.whl"]
+    url = front.file_urls()["a-1.whl"]
     half = response(200, b"a" * 3000)[:-1000]
     count = iter(range(100))
     stand.hook = lambda s: half if s.path.startswith("/pool/") and next(count) == 0 else b"pass"
@@ -268,8 +276,10 @@
         (lambda _: None, 504),
     ],
 )
-def test_errors_are_mapped_and_come_in_time(front: Front, reply: Callable[[Seen], Any], status: int) -> None:
-    front.stands[0].hook = reply
+def test_errors_are_mapped_and_come_in_time(
+    front: Front, reply: Callable[[ReceivedRequest], Any], status: int
+) -> None:
+    front.upstreams[0].hook = reply
     front.start(DEPLOY.replace("deadline_ns = 5_000_000_000", "deadline_ns = 600_000_000"))
     began = time.monotonic()
     got = front.get(f"/simple/{PROJECT}/")
@@ -278,33 +288,33 @@
 
 
 def test_a_repository_that_is_gone(front: Front) -> None:
-    front.stands[0].http.listener.close()
+    front.upstreams[0].http.listener.close()
     front.start()
     got = front.get(f"/simple/{PROJECT}/")
     assert got.status == 502 and "retry-after" in got.fields
 
 
 def test_a_second_repository_takes_over(front: Front) -> None:
-    front.stands.append(Stand())
-    front.stands[0].hook = lambda _: b""
+    front.upstreams.append(RepositoryStandIn())
+    front.upstreams[0].hook = lambda _: b""
     front.start()
     for _ in range(6):
-        assert front.get(front.urls()["b-1.whl"]).body == b"b" * 5000
+        assert front.get(front.file_urls()["b-1.whl"]).body == b"b" * 5000
 
 
 def test_sigterm_between_index_and_file_still_gives_the_file(front: Front) -> None:
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     front.start()
-    url = front.urls()["a-1.whl"]
+    url = front.file_urls()["a-1.whl"]
     gate, came = threading.Event(), threading.Event()
 
-    def hold(_: Seen) -> bytes:
+    def hold(_: ReceivedRequest) -> bytes:
         came.set()
         gate.wait(5)
         return b"pass"
 
     stand.hook = hold
-    got: list[Got] = []
+    got: list[FrontResponse] = []
     asking = threading.Thread(target=lambda: got.append(front.get(url)))
     asking.start()
     assert came.wait(5)
@@ -333,9 +343,9 @@
     def bring(requests: int) -> None:
         file.write_text(f"""
 [teams.stations]
-token_sha256 = "{sha(b"secret")}"
+token_sha256 = "{sha256_hex(b"secret")}"
 [teams.screens]
-token_sha256 = "{sha(b"other")}"
+token_sha256 = "{sha256_hex(b"other")}"
 [services.firmware]
 projects = ["charger-*"]
 [[contracts]]
@@ -353,21 +363,21 @@
     path = f"/simple/{PROJECT}/"
     assert front.get(path).status == 401  # nothing is applied yet
     bring(4)
-    until(lambda: front.get(path, Authorization=auth("stations", "secret")).status == 200)
-    assert front.get(path, Authorization=auth("stations", "wrong")).status == 401
-    assert front.get(path, Authorization=auth("screens", "other")).status == 403
-    assert front.get("/simple/", Authorization=auth("stations", "secret")).status == 403
-    front.stands[0].hook = lambda _: None
+    until(lambda: front.get(path, Authorization=basic_auth("stations", "secret")).status == 200)
+    assert front.get(path, Authorization=basic_auth("stations", "wrong")).status == 401
+    assert front.get(path, Authorization=basic_auth("screens", "other")).status == 403
+    assert front.get("/simple/", Authorization=basic_auth("stations", "secret")).status == 403
+    front.upstreams[0].hook = lambda _: None
     front.purge()
     began = time.monotonic()
-    assert front.get(path, Authorization=auth("stations", "secret")).status == 504
+    assert front.get(path, Authorization=basic_auth("stations", "secret")).status == 504
     assert time.monotonic() - began < 0.6  # the contract's deadline, not the class's
-    front.stands[0].hook = None
-    got = [front.get(path, Authorization=auth("stations", "secret")) for _ in range(4)]
+    front.upstreams[0].hook = None
+    got = [front.get(path, Authorization=basic_auth("stations", "secret")) for _ in range(4)]
     assert [g.status for g in got] == [200, 200, 429, 429]
     assert 3000 < int(got[-1].fields["retry-after"]) <= 3600
     bring(0)  # no budget of requests
-    until(lambda: front.get(path, Authorization=auth("stations", "secret")).status == 200)
+    until(lambda: front.get(path, Authorization=basic_auth("stations", "secret")).status == 200)
 
 
 @pytest.mark.parametrize(
@@ -400,16 +410,16 @@
         silent.settimeout(10)
         assert silent.recv(100) == b""
     assert time.monotonic() - began < 8
-    assert front.urls()
+    assert front.file_urls()
 
 
 @pytest.mark.parametrize("early", [b"HTTP/1.1 103 Early Hints\r\n\r\n", b""])
 def test_upstream_answers_with_more_than_belongs_to_them(front: Front, early: bytes) -> None:
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     whole = stand.http.reply
     stand.http.reply = lambda seen: early + (whole(seen) or b"") + (b"" if early else b"noise behind")
     front.start()
-    for name, url in front.urls().items():
+    for name, url in front.file_urls().items():
         got = front.get(url)
         assert got.status == 200 and got.body == stand.files[name]
 
@@ -417,18 +427,18 @@
 def test_a_file_that_stops_halfway_on_an_open_connection_is_asked_for_again(front: Front) -> None:
     """It would take the request's whole time of 30 s; its reader has left long before."""
     front.start()
-    stand, url, count = front.stands[0], front.urls()["a-1.whl"], iter(range(100))
-    stand.http.halts = True
+    stand, url, count = front.upstreams[0], front.file_urls()["a-1.whl"], iter(range(100))
+    stand.http.stalls_after_partial = True
     half = response(200, stand.files["a-1.whl"])[:-100]
     stand.hook = lambda seen: half if seen.path.startswith("/pool/") and next(count) == 0 else b"pass"
     got = front.get(url)
     assert (got.status, got.body) == (200, stand.files["a-1.whl"])
-    assert [s.path for s in stand.http.seen].count("/pool/a-1.whl") == 2
+    assert [s.path for s in stand.http.requests].count("/pool/a-1.whl") == 2
 
 
 def test_sighup_reads_the_deploy_file_anew(front: Front) -> None:
     front.start()
-    front.urls()
+    front.file_urls()
     purged = front.purge()
     new = ChangeLog()
     new.events = [*front.log.events]
@@ -437,12 +447,12 @@
     path.write_text("listen = ")
     front.program.process.send_signal(signal.SIGHUP)
     until(lambda: any("stays as it was" in x for x in front.program.lines))
-    fresh = Stand()
+    fresh = RepositoryStandIn()
     fresh.files = {"other-1.0.tar.gz": b"other"}
     text = text.replace(front.log.address, new.address)
-    path.write_text(text.replace(front.stands[0].http.address, fresh.http.address))
+    path.write_text(text.replace(front.upstreams[0].http.address, fresh.http.address))
     front.program.process.send_signal(signal.SIGHUP)
-    until(lambda: 1 in new.polled)
+    until(lambda: 1 in new.polls)
     seq = new.add(invalidate={"object": f"{simple.object_id(PROJECT):016x}", "time": purged + 1})
-    until(lambda: new.heard(seq))
-    assert list(front.urls()) == ["other-1.0.tar.gz"]
+    until(lambda: new.acknowledged(seq))
+    assert list(front.file_urls()) == ["other-1.0.tar.gz"]
--- a/tests/repository/test_upstream_options.py
+++ b/tests/repository/test_upstream_options.py
@@ -13,8 +13,8 @@
 from hallproxy.repository.config import load
 from hallproxy.run.config import ConfigError
 from hallproxy.state.effects import UpstreamRequest
-from tests.support.gateway import Seen, response, until
-from tests.support.repository_front import DEPLOY, PROJECT, Front, Stand, sha
+from tests.support.gateway import ReceivedRequest, response, until
+from tests.support.repository_front import DEPLOY, PROJECT, Front, RepositoryStandIn, sha256_hex
 
 SECRET = "stations:s3cr3t-value"
 TOLD = "Basic " + base64.b64encode(SECRET.encode()).decode()
@@ -75,17 +75,17 @@
     assert listing.project == ""
 
 
-def _guarded(stand: Stand, prefix: str) -> None:
+def _guarded(stand: RepositoryStandIn, prefix: str) -> None:
     """The stand answers only under ``prefix``, only to the right credentials, with relative links."""
 
-    def hook(seen: Seen) -> bytes | None:
+    def hook(seen: ReceivedRequest) -> bytes | None:
         if seen.fields.get("authorization") != TOLD:
             return response(401, b"who are you", WWW_Authenticate='Basic realm="r"')
         if not seen.path.startswith(prefix + "/"):
             return response(404)
         path = seen.path.removeprefix(prefix)
         if path == f"/simple/{PROJECT}/":
-            files = [{"filename": n, "url": f"../../pool/{n}", "hashes": {"sha256": sha(b)}}
+            files = [{"filename": n, "url": f"../../pool/{n}", "hashes": {"sha256": sha256_hex(b)}}
                      for n, b in stand.files.items()]  # fmt: skip
             body = json.dumps({"meta": {"api-version": "1.0"}, "name": PROJECT, "files": files}).encode()
             return response(200, body, Content_Type=simple.JSON)
@@ -99,7 +99,7 @@
 
 def _start(front: Front, monkeypatch: pytest.MonkeyPatch, secret: str) -> None:
     monkeypatch.setenv("UPSTREAM_SECRET", secret)
-    address = front.stands[0].http.address
+    address = front.upstreams[0].http.address
     text = DEPLOY.replace('address = "127.0.0.1:8082"\n', f'address = "{address}"\n')
     front.start(
         text.replace("[settings]", 'prefix = "/pypi"\ncredentials = "UPSTREAM_SECRET"\n\n[settings]', 1)
@@ -109,21 +109,21 @@
 def test_an_upstream_under_a_prefix_and_behind_credentials_is_served(
     front: Front, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     _guarded(stand, "/pypi")
     _start(front, monkeypatch, SECRET)
-    for name, url in front.urls().items():
+    for name, url in front.file_urls().items():
         got = front.get(url)
         assert got.status == 200 and got.body == stand.files[name]
         assert "s3cr3t" not in json.dumps(got.fields)
-    assert stand.http.seen and all(s.fields.get("authorization") == TOLD for s in stand.http.seen)
-    assert {s.path for s in stand.http.seen} >= {f"/pypi/simple/{PROJECT}/", "/pypi/pool/a-1.whl"}
+    assert stand.http.requests and all(s.fields.get("authorization") == TOLD for s in stand.http.requests)
+    assert {s.path for s in stand.http.requests} >= {f"/pypi/simple/{PROJECT}/", "/pypi/pool/a-1.whl"}
 
 
 def test_credentials_that_are_refused_are_an_error_and_never_told(
     front: Front, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    _guarded(front.stands[0], "/pypi")
+    _guarded(front.upstreams[0], "/pypi")
     _start(front, monkeypatch, "stations:wrong")
     got = front.get(f"/simple/{PROJECT}/", Accept=simple.JSON)
     assert got.status == 502 and b"wrong" not in got.body and "wrong" not in json.dumps(got.fields)
--- a/tests/repository/test_upstream_tls.py
+++ b/tests/repository/test_upstream_tls.py
@@ -19,11 +19,11 @@
 from hallproxy.repository.config import load
 from hallproxy.run.config import ConfigError
 from tests.support.gateway import until
-from tests.support.repository_front import DEPLOY, PROJECT, Front, Stand
+from tests.support.repository_front import DEPLOY, PROJECT, Front, RepositoryStandIn
 from tests.support.tls import https_get, start_with_certificate, write_certificate
 
 
-def _speaks_tls(stand: Stand, authority: trustme.CA, *names: str) -> None:
+def _speaks_tls(stand: RepositoryStandIn, authority: trustme.CA, *names: str) -> None:
     """The stand answers over TLS alone, with a certificate for ``names`` from ``authority``."""
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     authority.issue_cert(*names).configure_cert(context)
@@ -38,24 +38,24 @@
 
 
 def test_indexes_and_files_come_over_tls_on_kept_connections(front: Front) -> None:
-    authority, stand = trustme.CA(), front.stands[0]
+    authority, stand = trustme.CA(), front.upstreams[0]
     _speaks_tls(stand, authority, "127.0.0.1")
     _start(front, authority)
     for _ in range(4):
         front.purge()  # nothing kept: each round goes upstream
-        for name, url in front.urls().items():
+        for name, url in front.file_urls().items():
             got = front.get(url)
             assert got.status == 200 and got.body == stand.files[name]
-    assert len(stand.http.seen) >= 6 and stand.http.seen[0].fields["host"] == stand.http.address
-    assert len(stand.http.listener.connections) < len(stand.http.seen)  # connections were used again
+    assert len(stand.http.requests) >= 6 and stand.http.requests[0].fields["host"] == stand.http.address
+    assert len(stand.http.listener.connections) < len(stand.http.requests)  # connections were used again
 
 
 def test_the_name_checked_is_the_server_name_and_it_is_the_host(front: Front) -> None:
-    authority, stand = trustme.CA(), front.stands[0]
+    authority, stand = trustme.CA(), front.upstreams[0]
     _speaks_tls(stand, authority, "repository.internal")
     _start(front, authority, 'server_name = "repository.internal"\n')
     assert front.get(f"/simple/{PROJECT}/", Accept=simple.JSON).status == 200
-    assert stand.http.seen[0].fields["host"] == "repository.internal"
+    assert stand.http.requests[0].fields["host"] == "repository.internal"
 
 
 @pytest.mark.parametrize(
@@ -65,24 +65,24 @@
 def test_a_certificate_not_trusted_or_for_another_name_is_a_502_and_a_line(
     front: Front, names: tuple[str, ...], said: str
 ) -> None:
-    stand = front.stands[0]
+    stand = front.upstreams[0]
     other = trustme.CA() if names == ("127.0.0.1",) else None
     trusted = trustme.CA()
     _speaks_tls(stand, other or trusted, *names)
     _start(front, trusted)
     got = front.get(f"/simple/{PROJECT}/", Accept=simple.JSON)
-    assert got.status == 502 and not stand.http.seen
+    assert got.status == 502 and not stand.http.requests
     until(lambda: [line for line in front.program.lines if said in line])
 
 
 def test_an_upstream_that_speaks_no_tls_is_a_502_and_a_line(front: Front) -> None:
-    plain = front.stands[0].http.listener._handle
+    plain = front.upstreams[0].http.listener._handle
 
     def handle(made: socket.socket) -> None:
         with contextlib.suppress(UnicodeDecodeError):  # a handshake read as a request
             plain(made)
 
-    front.stands[0].http.listener._handle = handle
+    front.upstreams[0].http.listener._handle = handle
     _start(front, trustme.CA())  # the stand speaks plain HTTP
     assert front.get(f"/simple/{PROJECT}/", Accept=simple.JSON).status == 502
     until(lambda: [line for line in front.program.lines if "TLS failed" in line])
@@ -112,7 +112,7 @@
     status, body = https_get(front, authority, f"/simple/{PROJECT}/")
     assert status == 200
     url = json.loads(body)["files"][0]["url"]
-    assert https_get(front, authority, url) == (200, front.stands[0].files["a-1.whl"])
+    assert https_get(front, authority, url) == (200, front.upstreams[0].files["a-1.whl"])
     with pytest.raises((http.client.HTTPException, OSError)):
         front.get(f"/simple/{PROJECT}/")
     assert https_get(front, authority, f"/simple/{PROJECT}/")[0] == 200
--- a/tests/routes/test_routed_front.py
+++ b/tests/routes/test_routed_front.py
@@ -11,7 +11,14 @@
 
 from hallproxy.repository import simple
 from tests.support.gateway import response, until
-from tests.support.repository_front import DEPLOY, PROJECT, Front, Stand, serving, sha
+from tests.support.repository_front import (
+    DEPLOY,
+    PROJECT,
+    Front,
+    RepositoryStandIn,
+    sha256_hex,
+    stop_after_test,
+)
 
 
 def start_with_tiers(front: Front, *tiers: str) -> Front:
@@ -19,31 +26,31 @@
     return front.start(DEPLOY + f'\n[[route]]\nprojects = ["charger-*"]\nupstreams = [{listed}]\n')
 
 
-def requested_paths(stand: Stand) -> list[str]:
-    return [seen.path for seen in stand.http.seen]
+def requested_paths(stand: RepositoryStandIn) -> list[str]:
+    return [seen.path for seen in stand.http.requests]
 
 
 @pytest.fixture
 def front(tmp_path: Path) -> Iterator[Front]:
-    made = Front(tmp_path, [Stand(), Stand()])
-    made.stands[1].files = {"a-1.whl": b"evil" * 750}  # the same name in public, other bytes
-    yield from serving(made)
+    made = Front(tmp_path, [RepositoryStandIn(), RepositoryStandIn()])
+    made.upstreams[1].files = {"a-1.whl": b"evil" * 750}  # the same name in public, other bytes
+    yield from stop_after_test(made)
 
 
 def test_the_first_tier_that_has_the_project_serves_it_alone(front: Front) -> None:
-    private, public = front.stands
+    private, public = front.upstreams
     start_with_tiers(front, "r-0", "r-1")
-    for name, url in front.urls().items():
+    for name, url in front.file_urls().items():
         got = front.get(url)
         assert got.status == 200 and got.body == private.files[name]
     assert not requested_paths(public)
 
 
 def test_not_found_in_the_private_tier_leads_to_the_public_one(front: Front) -> None:
-    private, public = front.stands
+    private, public = front.upstreams
     private.hook = lambda seen: response(404) if seen.path == f"/simple/{PROJECT}/" else b"pass"
     start_with_tiers(front, "r-0", "r-1")
-    urls = front.urls()
+    urls = front.file_urls()
     assert list(urls) == ["a-1.whl"]
     got = front.get(urls["a-1.whl"])
     assert got.status == 200 and got.body == public.files["a-1.whl"]
@@ -52,7 +59,7 @@
 
 @pytest.mark.parametrize("fault", [503, 500, 0])
 def test_a_failed_private_tier_never_exposes_its_names_to_the_public_one(front: Front, fault: int) -> None:
-    private, public = front.stands
+    private, public = front.upstreams
     private.hook = lambda seen: response(fault) if fault else b""  # b"": the connection closes unanswered
     start_with_tiers(front, "r-0", "r-1")
     got = front.get(f"/simple/{PROJECT}/", Accept=simple.JSON)
@@ -61,7 +68,7 @@
 
 
 def test_a_pinned_project_is_requested_from_its_upstream_alone(front: Front) -> None:
-    private, public = front.stands
+    private, public = front.upstreams
     private.hook = lambda seen: response(404) if seen.path.startswith("/simple/") else b"pass"
     start_with_tiers(front, "r-0")
     assert front.get(f"/simple/{PROJECT}/", Accept=simple.JSON).status == 404
@@ -72,21 +79,21 @@
     start_with_tiers(front, "r-0")
     got = front.get("/simple/numpy/", Accept=simple.JSON)
     assert got.status == 404
-    assert all(seen.path == "/simple/numpy/" for s in front.stands for seen in s.http.seen)
+    assert all(seen.path == "/simple/numpy/" for s in front.upstreams for seen in s.http.requests)
 
 
 def test_files_come_from_the_tier_whose_index_named_them(front: Front) -> None:
-    private, public = front.stands
+    private, public = front.upstreams
     private.hook = lambda seen: response(404) if seen.path == f"/simple/{PROJECT}/" else b"pass"
     start_with_tiers(front, "r-0", "r-1")
     for _ in range(4):  # only the public tier may be chosen
-        url = front.urls()["a-1.whl"]
-        assert sha(public.files["a-1.whl"]) in url and front.get(url).status == 200
+        url = front.file_urls()["a-1.whl"]
+        assert sha256_hex(public.files["a-1.whl"]) in url and front.get(url).status == 200
     assert not [p for p in requested_paths(private) if p.startswith("/pool/")]
 
 
 def test_a_reload_applies_new_routes_and_an_unusable_one_changes_nothing(front: Front) -> None:
-    private, public = front.stands
+    private, public = front.upstreams
     private.hook = lambda seen: response(404) if seen.path.startswith("/simple/") else b"pass"
     start_with_tiers(front, "r-0")
     assert front.get(f"/simple/{PROJECT}/", Accept=simple.JSON).status == 404
@@ -99,4 +106,4 @@
     path.write_text(text.replace('upstreams = [["r-0"]]', 'upstreams = [["r-0"], ["r-1"]]'))
     front.program.process.send_signal(signal.SIGHUP)
     until(lambda: front.get(f"/simple/{PROJECT}/", Accept=simple.JSON).status == 200)
-    assert list(front.urls()) == ["a-1.whl"] and requested_paths(public)
+    assert list(front.file_urls()) == ["a-1.whl"] and requested_paths(public)
--- a/tests/run/test_change_log_sources.py
+++ b/tests/run/test_change_log_sources.py
@@ -52,18 +52,18 @@
 from tests.support.gateway import (
     ROOT,
     ChangeLog,
-    Http,
+    HttpStandIn,
     Platform,
-    Seen,
-    member,
+    ReceivedRequest,
+    instance_record,
     now_ms,
     ok,
     platform_settings,
-    polled,
+    poll_parameters,
     response,
     until,
 )
-from tests.support.processes import eventually, reload, reload_count
+from tests.support.processes import eventually, reload_config, reload_count
 
 SECOND = 10**9
 SETTINGS = settings_from_json(json.dumps(platform_settings()).encode())
@@ -77,15 +77,17 @@
         self.log, self.way = log, way
         self.fields: dict[str, str] = {}  # of good answers
         self.page: Callable[[int], bytes] | None = None  # a body of its own, by the number asked from
-        self.http = Http(self._answer)
+        self.http = HttpStandIn(self._answer)
         self.address = address(self.http.address)
         self.asked: list[tuple[int, int]] = []  # number held, ms to wait
 
-    def _answer(self, seen: Seen) -> bytes | None:
-        since, wait = polled(seen)
+    def _answer(self, seen: ReceivedRequest) -> bytes | None:
+        since, wait = poll_parameters(seen)
         self.asked.append((since, wait))
-        with self.log._more:
-            self.log._more.wait_for(lambda: len(self.log.events) > since or self.way != "good", wait / 1000)
+        with self.log._changed:
+            self.log._changed.wait_for(
+                lambda: len(self.log.events) > since or self.way != "good", wait / 1000
+            )
             if self.way == "silent":
                 return None
             if self.way == "not current":
@@ -94,9 +96,9 @@
             return response(200, body, **self.fields)
 
     def turn(self, way: str) -> None:
-        with self.log._more:
+        with self.log._changed:
             self.way = way
-            self.log._more.notify_all()
+            self.log._changed.notify_all()
 
     def kill(self) -> None:
         """The process is gone: what is open is reset, connects are refused."""
@@ -603,11 +605,11 @@
         follows = Follows([r.address for r in those])
         async with follows.running():
             await eventually(lambda: follows.purged == [1])
-        assert those[0].http.seen[0].fields["accept-encoding"] == "gzip"
+        assert those[0].http.requests[0].fields["accept-encoding"] == "gzip"
         loop = EffectRunner(GatewayState(SETTINGS, Router(SETTINGS, 1)))
         alone = asyncio.ensure_future(Poller(loop, those[1].address, 0).run())
-        await eventually(lambda: len(those[1].http.seen) > 1)
-        assert all(set(s.fields) == {"host"} for s in those[1].http.seen)
+        await eventually(lambda: len(those[1].http.requests) > 1)
+        assert all(set(s.fields) == {"host"} for s in those[1].http.requests)
         alone.cancel()
 
     asyncio.run(play())
@@ -745,7 +747,7 @@
     return {"seq": last, "results": [{"seq": last - GROUP_COUNT + n, **one} for n, one in enumerate(told)]}
 
 
-LINES = [member("s-9", "127.0.0.1:9", "std")]
+LINES = [instance_record("s-9", "127.0.0.1:9", "std")]
 ALL_GROUPS = [-1 - n for n in range(GROUP_COUNT)]
 
 
@@ -867,7 +869,9 @@
     log: list[dict[str, Any]] = []
     for n, step in enumerate(steps):
         if step[0] == "list":
-            lines = [member(s, f"127.0.0.1:{p}", "std", state, startedAtMs=p) for s, state, p in step[2]]
+            lines = [
+                instance_record(s, f"127.0.0.1:{p}", "std", state, startedAtMs=p) for s, state, p in step[2]
+            ]
             change = {"generation": n, "reset": step[1], "instances": lines}
             log.append({"seq": n + 1, "fleet": change})
         else:
@@ -928,11 +932,14 @@
     """A gateway that follows relays; the log's own address in the configuration is asked by nobody."""
     log = ChangeLog()
     platform = Platform(path)
-    lines = [member(f"s-{n}", c.address, "std") for n, c in enumerate(platform.caches)]
-    lines += [member("p-0", "127.0.0.1:1", "parent"), member("o-0", "127.0.0.1:1", "origin")]
+    lines = [instance_record(f"s-{n}", c.address, "std") for n, c in enumerate(platform.caches)]
+    lines += [
+        instance_record("p-0", "127.0.0.1:1", "parent"),
+        instance_record("o-0", "127.0.0.1:1", "origin"),
+    ]
     log.add(fleet={"generation": 1, "reset": True, "instances": lines})
     those = relays(count, log)
-    platform.words = ("--change-logs", str(logs_file(path, those)))
+    platform.args = ("--change-logs", str(logs_file(path, those)))
     platform.start(**more)
     try:
         yield platform, those
@@ -954,10 +961,10 @@
         those[0].kill()
         those[0].log.add(invalidate=purge(2))
         until(lambda: held(those[1:2], 3))
-        assert not those[2].asked and not platform.log.polled
+        assert not those[2].asked and not platform.log.polls
         client = platform.client()
-        client.ask()
-        assert client.answer()[0] == frames.SERVED
+        client.send_request()
+        assert client.read_response()[0] == frames.SERVED
         assert platform.program.stop() == 0
 
 
@@ -966,22 +973,25 @@
         client = platform.client()
         platform.caches[0].reply = platform.caches[1].reply = ok()
         for row in range(1, 9):
-            client.ask(row=row)
-            assert client.answer()[0] == frames.SERVED
-        assert all(c.seen for c in platform.caches)
-        lines = [member("s-1", platform.caches[1].address, "std")]
-        lines += [member("p-0", "127.0.0.1:1", "parent"), member("o-0", "127.0.0.1:1", "origin")]
+            client.send_request(row=row)
+            assert client.read_response()[0] == frames.SERVED
+        assert all(c.requests for c in platform.caches)
+        lines = [instance_record("s-1", platform.caches[1].address, "std")]
+        lines += [
+            instance_record("p-0", "127.0.0.1:1", "parent"),
+            instance_record("o-0", "127.0.0.1:1", "origin"),
+        ]
         page = json.dumps(whole(900, lines, 1)).encode()
         those[0].page = lambda since: page if since < 900 else b'{"seq": 900, "results": []}'
         those[0].log.add(invalidate=purge(1))  # wakes the held poll
         until(lambda: held(those, 900))
         until(lambda: all(s.fileno() < 0 for s in platform.caches[0].listener.connections))
         assert any(s.fileno() >= 0 for s in platform.caches[1].listener.connections)
-        before = len(platform.caches[0].seen)
+        before = len(platform.caches[0].requests)
         for row in range(11, 19):
-            client.ask(row=row)
-            assert client.answer()[0] == frames.SERVED
-        assert len(platform.caches[0].seen) == before
+            client.send_request(row=row)
+            assert client.read_response()[0] == frames.SERVED
+        assert len(platform.caches[0].requests) == before
 
 
 def test_sighup_reads_the_file_anew_and_moves_whole_or_not_at_all(tmp_path: Path) -> None:
@@ -989,24 +999,24 @@
         until(lambda: those[0].asked)
         new = [Relay(those[0].log)]
         file = logs_file(tmp_path, new, spread_ms='"much"')
-        reload(platform)
+        reload_config(platform)
         assert any("stays as it was" in x and "spread_ms" in x for x in platform.program.lines)
         those[0].log.add(invalidate=purge(1))
         until(lambda: held(those, 2))
         assert not new[0].asked
         logs_file(tmp_path, new)
-        reload(platform)
+        reload_config(platform)
         until(lambda: new[0].asked)
         assert new[0].asked[0][0] == 2  # the numbers go on
         asked = [len(r.asked) for r in those]
         connections = len(new[0].http.listener.connections)
-        reload(platform)  # the same file once more: what is open stays
+        reload_config(platform)  # the same file once more: what is open stays
         new[0].log.add(invalidate=purge(2))
         until(lambda: held(new, 3))
         assert len(new[0].http.listener.connections) == connections
         assert asked == [len(r.asked) for r in those] and reload_count(platform.program) == 3
         file.unlink()
-        reload(platform)
+        reload_config(platform)
         assert any("can't be read" in x for x in platform.program.lines)
         assert platform.program.stop() == 0
 
@@ -1080,8 +1090,8 @@
         env=os.environ | {"EDGE_CONFIG": str(tmp_path / "config.json")},
     )  # fmt: skip
     try:
-        before = len(platform.log.polled)
-        until(lambda: len(platform.log.polled) > before + 1)
+        before = len(platform.log.polls)
+        until(lambda: len(platform.log.polls) > before + 1)
         process.send_signal(signal.SIGTERM)
         _, err = process.communicate(timeout=20)
         assert process.returncode == 0 and "listens on" in err and "Error" not in err, err
--- a/tests/run/test_descriptors.py
+++ b/tests/run/test_descriptors.py
@@ -37,62 +37,62 @@
 
 def test_the_poll_outlives_a_time_without_descriptors(platform: Platform) -> None:
     """Its old connection breaks just then, so that it needs a new one."""
-    until(lambda: platform.log.polled)
+    until(lambda: platform.log.polls)
     with none_left(platform.program):
         for made in platform.log._http.listener.connections:
             made.shutdown(socket.SHUT_RDWR)
         until(lambda: said(platform.program, "change log: OSError") >= 2)  # it goes on trying
-    platform.tell(invalidate={"object": f"{7:016x}", "time": 1})  # returns once the gateway holds it
+    platform.publish(invalidate={"object": f"{7:016x}", "time": 1})  # returns once the gateway holds it
 
 
 def test_the_listener_outlives_it_and_neither_spins_nor_turns_anybody_away(platform: Platform) -> None:
     with none_left(platform.program):
         client = Client(platform.program.port)  # the system takes it into the backlog
-        client.ask(row=3)
+        client.send_request(row=3)
         until(lambda: said(platform.program, "listener:") >= 3)
         assert said(platform.program, "listener:") < 200
-    assert client.answer()[0] == SERVED
+    assert client.read_response()[0] == SERVED
     assert not said(platform.program, "Error") and not said(platform.program, "Exception")
 
 
 def test_an_idle_connection_gives_its_descriptor_to_a_new_one(platform: Platform) -> None:
     idle = platform.client()
-    idle.ask(row=1)
-    assert idle.answer()[0] == SERVED
+    idle.send_request(row=1)
+    assert idle.read_response()[0] == SERVED
     with none_left(platform.program, again=True):
         client = Client(platform.program.port)
-        assert idle.read() is None  # closed for it, with nothing open on it
-        client.send(frames.READINESS_REQUEST, 0)
-        assert client.read() is not None
+        assert idle.read_frame() is None  # closed for it, with nothing open on it
+        client.send_frame(frames.READINESS_REQUEST, 0)
+        assert client.read_frame() is not None
 
 
 def test_an_idle_store_connection_gives_its_descriptor_to_one_that_is_asked(platform: Platform) -> None:
     """Having none left is no fault of the store: it gets its requests all the same."""
     client = platform.client()
-    client.ask(row=1)
-    assert client.answer()[0] == SERVED
-    asked = [len(c.seen) for c in platform.caches]
+    client.send_request(row=1)
+    assert client.read_response()[0] == SERVED
+    asked = [len(c.requests) for c in platform.caches]
     with none_left(platform.program, again=True):
         for row in range(2, 18):
-            client.ask(row=row)
-            assert client.answer()[0] == SERVED
-    assert all(len(c.seen) > before for c, before in zip(platform.caches, asked, strict=True))
+            client.send_request(row=row)
+            assert client.read_response()[0] == SERVED
+    assert all(len(c.requests) > before for c, before in zip(platform.caches, asked, strict=True))
 
 
 def test_with_nothing_to_close_what_needs_a_descriptor_is_refused_and_no_store_blamed(
     platform: Platform,
 ) -> None:
     client = platform.client()
-    client.send(frames.READINESS_REQUEST, 0)
-    assert client.read() is not None  # it has its descriptor
+    client.send_frame(frames.READINESS_REQUEST, 0)
+    assert client.read_frame() is not None  # it has its descriptor
     with none_left(platform.program):
         for row in range(1, 9):
-            client.ask(row=row)
-        assert all(client.answer()[0] == frames.REJECTED for _ in range(8))
-    assert not platform.seen and not said(platform.program, "ejected")
+            client.send_request(row=row)
+        assert all(client.read_response()[0] == frames.REJECTED for _ in range(8))
+    assert not platform.requests and not said(platform.program, "ejected")
     for row in range(1, 9):
-        client.ask(row=row)
-    assert all(client.answer()[0] == SERVED for _ in range(8))
+        client.send_request(row=row)
+    assert all(client.read_response()[0] == SERVED for _ in range(8))
 
 
 def test_idle_clients_at_the_limit_while_the_log_is_down_leave_it_and_the_stores_their_connections(
@@ -100,28 +100,28 @@
 ) -> None:
     platform = Platform(tmp_path, limits={"memory_mb": 64, "sockets": 128}).start()
     try:
-        until(lambda: platform.log.polled)
+        until(lambda: platform.log.polls)
         platform.log._http.listener.close()
         idle = [Client(platform.program.port) for _ in range(300)]
         for client in idle:
             with contextlib.suppress(OSError):
-                client.send(frames.READINESS_REQUEST, 0)
+                client.send_frame(frames.READINESS_REQUEST, 0)
         until(lambda: said(platform.program, "change log: StreamClosedError") >= 3)
         client = platform.client()
         for row in range(1, 9):
-            client.ask(row=row)
-            assert client.answer()[0] == SERVED
+            client.send_request(row=row)
+            assert client.read_response()[0] == SERVED
         new = ChangeLog()
         new.events = [*platform.log.events]
         platform.config["changelog"] = new.address
         (tmp_path / "config.json").write_text(json.dumps(platform.config))
         platform.program.process.send_signal(signal.SIGHUP)
-        until(lambda: new.polled)
+        until(lambda: new.polls)
         assert len(list(Path(f"/proc/{platform.program.process.pid}/fd").iterdir())) < 128
         for one in idle:
             one.sock.close()
-        client.ask(row=99)
-        assert client.answer()[0] == SERVED
+        client.send_request(row=99)
+        assert client.read_response()[0] == SERVED
     finally:
         platform.program.process.kill()
         platform.program.wait()
--- a/tests/run/test_malformed_input.py
+++ b/tests/run/test_malformed_input.py
@@ -20,10 +20,10 @@
 from hallproxy.wire import frames
 from tests.support.gateway import (
     Client,
-    Http,
+    HttpStandIn,
     Listener,
     Platform,
-    member,
+    instance_record,
     ok,
     read_request,
     reset,
@@ -80,8 +80,8 @@
 def rows(client: Client, count: int) -> list[tuple[int, bytes]]:
     told = []
     for row in range(1, count + 1):
-        client.ask(op="small", row=row)
-        code, _, body = client.answer()
+        client.send_request(op="small", row=row)
+        code, _, body = client.read_response()
         told.append((code, body))
     return told
 
@@ -108,12 +108,14 @@
 ) -> None:
     store = Raw()
     _, client = start(made, tmp_path, store)
-    client.ask(op="once", row=1)  # a class that may not run twice: the next must not be sent on it at all
-    assert client.answer()[0] == SERVED
+    client.send_request(
+        op="once", row=1
+    )  # a class that may not run twice: the next must not be sent on it at all
+    assert client.read_response()[0] == SERVED
     store.listener.connections[0].sendall(b"late noise")
     assert store.ended.wait(5)
-    client.ask(op="once", row=2)
-    assert client.answer()[0] == SERVED
+    client.send_request(op="once", row=2)
+    assert client.read_response()[0] == SERVED
     assert store.requests == 2
 
 
@@ -133,11 +135,11 @@
 def test_a_final_answer_may_come_long_after_an_interim_one(made: list[Platform], tmp_path: Path) -> None:
     store = Raw(EARLY)
     _, client = start(made, tmp_path, store)
-    client.ask(op="small", row=1)
+    client.send_request(op="small", row=1)
     until(lambda: store.requests)
     assert not store.ended.wait(0.3)  # a store may work on it for as long as it likes
     store.listener.connections[0].sendall(GOOD)
-    assert client.answer()[0] == SERVED and store.requests == 1
+    assert client.read_response()[0] == SERVED and store.requests == 1
 
 
 @pytest.mark.timing("both answers come within 2 s")
@@ -163,11 +165,11 @@
     store = Raw(spoilt, spoilt, endless=endless)
     platform, client = start(made, tmp_path, store)
     began = time.monotonic()
-    client.ask(op="once", ttl="3000")
-    assert client.answer()[0] == FAILED and store.requests == 1
+    client.send_request(op="once", ttl="3000")
+    assert client.read_response()[0] == FAILED and store.requests == 1
     assert store.ended.wait(5)
-    client.ask(op="small", row=2, ttl="3000")
-    assert client.answer()[::2] == (SERVED, b"bytes") and store.requests == 3
+    client.send_request(op="small", row=2, ttl="3000")
+    assert client.read_response()[::2] == (SERVED, b"bytes") and store.requests == 3
     assert time.monotonic() - began < 2
     assert not [x for x in platform.program.lines if "fault" in x]
 
@@ -225,7 +227,7 @@
 
 def test_stores_that_come_and_go_leave_nothing_behind(made: list[Platform], tmp_path: Path) -> None:
     """A new id at an address used before, again and again: descriptors stay as they were."""
-    store = Http(ok())
+    store = HttpStandIn(ok())
     platform, client = start(made, tmp_path, store)
 
     def descriptors() -> int:
@@ -234,9 +236,12 @@
     assert rows(client, 1) == [(SERVED, b"bytes")]
     before = descriptors()
     for n in range(30):
-        lines = [member(f"s-{n}", store.address, "std", "Gone"), member(f"s-{n + 1}", store.address, "std")]
-        platform.tell(fleet={"generation": n + 2, "reset": False, "instances": lines})
-        client.ask(op="small", row=100 + n)
-        assert client.answer()[0] == SERVED
+        lines = [
+            instance_record(f"s-{n}", store.address, "std", "Gone"),
+            instance_record(f"s-{n + 1}", store.address, "std"),
+        ]
+        platform.publish(fleet={"generation": n + 2, "reset": False, "instances": lines})
+        client.send_request(op="small", row=100 + n)
+        assert client.read_response()[0] == SERVED
     until(lambda: descriptors() <= before + 2)
-    assert len(store.seen) == 31
+    assert len(store.requests) == 31
--- a/tests/run/test_misbehaving_clients.py
+++ b/tests/run/test_misbehaving_clients.py
@@ -30,13 +30,13 @@
 def well(platform: Platform) -> None:
     """A usual client is served."""
     client = platform.client()
-    client.ask(row=999)
-    assert client.answer()[0] == SERVED
+    client.send_request(row=999)
+    assert client.read_response()[0] == SERVED
 
 
 def ended(client: Client) -> bool:
     """Whatever it is still told, the connection ends."""
-    while client.read() is not None:
+    while client.read_frame() is not None:
         pass
     return True
 
@@ -54,13 +54,13 @@
 @pytest.mark.timing("the connection ends within 2.9 s")
 def test_who_has_asked_may_stay_but_not_begin_a_frame_for_good(platform: Platform) -> None:
     client = platform.client()
-    client.ask()
-    assert client.answer()[0] == SERVED
+    client.send_request()
+    assert client.read_response()[0] == SERVED
     time.sleep(
         downstream_connection.FRAME_TIMEOUT + 0.5
     )  # what is shown is that nothing happens: no condition to wait for
-    client.ask(row=2)
-    assert client.answer()[0] == SERVED
+    client.send_request(row=2)
+    assert client.read_response()[0] == SERVED
     client.sock.sendall(b"\0\0\0\x40\x41\0")
     began = time.monotonic()
     assert ended(client) and time.monotonic() - began < 2.9
@@ -87,35 +87,35 @@
 def test_requests_that_cannot_be_used_never_reach_a_store(platform: Platform, bad: dict[str, str]) -> None:
     client = platform.client()
     for _ in range(downstream_connection.MAX_INVALID_REQUESTS):
-        client.ask(fields=bad)
-    told = [client.read() for _ in range(downstream_connection.MAX_INVALID_REQUESTS)]
+        client.send_request(fields=bad)
+    told = [client.read_frame() for _ in range(downstream_connection.MAX_INVALID_REQUESTS)]
     assert all(f is not None and f[0] == frames.RESPONSE and f[2][0] == FAILED for f in told)
     assert ended(client)  # once more is no use: floods of it end with the connection
-    assert not platform.seen
+    assert not platform.requests
     well(platform)
 
 
 def test_an_id_that_is_open_is_not_taken_again(platform: Platform) -> None:
-    platform.all_reply(lambda s: None if f"{7:016x}" in s.path else ok()(s))
+    platform.set_reply(lambda s: None if f"{7:016x}" in s.path else ok()(s))
     usual, other = platform.client(), platform.client()
-    usual.ask(row=7)
-    until(lambda: platform.seen)
-    other.ask(row=8, call=f"{usual.base + 1:016x}")
-    assert other.answer()[0] == FAILED and len(platform.seen) == 1
+    usual.send_request(row=7)
+    until(lambda: platform.requests)
+    other.send_request(row=8, call=f"{usual.base + 1:016x}")
+    assert other.read_response()[0] == FAILED and len(platform.requests) == 1
     well(platform)
 
 
 def test_two_requests_under_one_number_end_the_connection(platform: Platform) -> None:
-    platform.all_reply(lambda _: None)
+    platform.set_reply(lambda _: None)
     client = platform.client()
-    client.ask()
+    client.send_request()
     client._last -= 1
-    client.ask(row=2)
-    frame = client.read()
+    client.send_request(row=2)
+    frame = client.read_frame()
     assert frame is not None and frame[:2] == (frames.RESPONSE, 0)
-    frame = client.read()  # the first was taken: its answer is owed
-    assert frame is not None and frame[:2] == (frames.RESPONSE, 1) and client.read() is None
-    assert len(platform.seen) == 1
+    frame = client.read_frame()  # the first was taken: its answer is owed
+    assert frame is not None and frame[:2] == (frames.RESPONSE, 1) and client.read_frame() is None
+    assert len(platform.requests) == 1
 
 
 def test_requests_taken_back_in_the_same_breath_are_never_begun(platform: Platform) -> None:
@@ -127,21 +127,21 @@
         raw += b"".join(frames.encode_frame(frames.REQUEST, stream, frames.encode_fields(fields)))
         raw += b"".join(frames.encode_frame(frames.CANCEL, stream))
     client.sock.sendall(raw)
-    client.ask(row=500, call="f" * 16)
+    client.send_request(row=500, call="f" * 16)
     client.sock.settimeout(5)
-    assert client.answer()[0] == SERVED
-    assert len(platform.seen) < 100
+    assert client.read_response()[0] == SERVED
+    assert len(platform.requests) < 100
 
 
 def test_connections_that_say_nothing_give_way_to_those_that_ask(platform: Platform) -> None:
     """More are opened than there are places; who waits for an answer keeps its own."""
-    platform.all_reply(lambda s: None if f"{7:016x}" in s.path else ok()(s))
+    platform.set_reply(lambda s: None if f"{7:016x}" in s.path else ok()(s))
     waiting = platform.client()
-    waiting.ask(row=7, ttl="3000")
-    until(lambda: platform.seen)
+    waiting.send_request(row=7, ttl="3000")
+    until(lambda: platform.requests)
     silent = [socket.create_connection(("127.0.0.1", platform.program.port)) for _ in range(80)]
     well(platform)
-    frame = waiting.read()
+    frame = waiting.read_frame()
     assert frame is not None and frame[:2] == (frames.RESPONSE, 1)
     for one in silent:
         one.close()
@@ -152,9 +152,9 @@
     for stream in range(1, 60):
         fields = {"op": "small", "call": f"{stream:016x}", "ttl": "2000", "row": f"{stream:016x}", "nth": "0",
                   "batch": "1", "heap": "40.0"}  # fmt: skip
-        client.send(frames.REQUEST, stream, frames.encode_fields(fields))
-        client.send(frames.CANCEL, stream)
-    platform.all_reply(lambda _: response(200, b"x", ETag="t", X_Born_Ms="1"))
+        client.send_frame(frames.REQUEST, stream, frames.encode_fields(fields))
+        client.send_frame(frames.CANCEL, stream)
+    platform.set_reply(lambda _: response(200, b"x", ETag="t", X_Born_Ms="1"))
     well(platform)
     assert not [x for x in platform.program.lines if "Error" in x or "fault" in x], platform.program.lines
 
@@ -164,12 +164,12 @@
     stay = []
     for n in range(60):  # more than there are places for
         stay.append(platform.client())
-        stay[-1].ask(op="small", row=n + 1)
-        assert stay[-1].answer()[0] == SERVED
+        stay[-1].send_request(op="small", row=n + 1)
+        assert stay[-1].read_response()[0] == SERVED
     for n in range(150):
         client = platform.client()
-        client.ask(op="small", row=n % 7 + 1)
-        assert client.answer()[0] == SERVED
+        client.send_request(op="small", row=n % 7 + 1)
+        assert client.read_response()[0] == SERVED
         if n % 2:
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.sock.close()
--- a/tests/run/test_reload.py
+++ b/tests/run/test_reload.py
@@ -19,58 +19,58 @@
 from tests.support.gateway import (
     ROOT,
     ChangeLog,
-    Http,
+    HttpStandIn,
     Platform,
-    member,
+    instance_record,
     now_ms,
     ok,
-    polled,
+    poll_parameters,
     response,
     until,
 )
-from tests.support.processes import reload
+from tests.support.processes import reload_config
 
 SERVED = frames.SERVED
 
 
 def gone(platform: Platform, number: int) -> dict[str, Any]:
-    line = member(f"s-{number}", platform.caches[number].address, "std", "Gone")
+    line = instance_record(f"s-{number}", platform.caches[number].address, "std", "Gone")
     return {"generation": 9, "reset": False, "instances": [line]}
 
 
 def test_sighup_moves_the_poll_and_leaves_open_work_alone(platform: Platform) -> None:
     """The old log stays silent on its open connection: waiting for it would leave a gap."""
-    platform.tell(invalidate={"object": f"{7:016x}", "time": now_ms()})
+    platform.publish(invalidate={"object": f"{7:016x}", "time": now_ms()})
     gate = threading.Event()
-    platform.all_reply(lambda s: ok()(s) if gate.wait(5) else None)
+    platform.set_reply(lambda s: ok()(s) if gate.wait(5) else None)
     client = platform.client()
-    stream = client.ask(ttl="8000")
-    until(lambda: platform.seen)
+    stream = client.send_request(ttl="8000")
+    until(lambda: platform.requests)
     new = ChangeLog()
     new.events = [*platform.log.events]
     new.add(fleet=gone(platform, 0))
-    reload(platform, changelog=new.address)
-    until(lambda: 3 in new.polled)
-    assert new.polled[0] == 2  # the numbers go on from what was held: no gap, nothing twice
+    reload_config(platform, changelog=new.address)
+    until(lambda: 3 in new.polls)
+    assert new.polls[0] == 2  # the numbers go on from what was held: no gap, nothing twice
     gate.set()
-    frame = client.read()
+    frame = client.read_frame()
     assert frame is not None and frame[1] == stream and frame[2][0] == SERVED
-    before = len(platform.caches[0].seen)
+    before = len(platform.caches[0].requests)
     for row in range(2, 8):
-        client.ask(row=row)
-        assert client.answer()[0] == SERVED
-    assert len(platform.caches[0].seen) == before
+        client.send_request(row=row)
+        assert client.read_response()[0] == SERVED
+    assert len(platform.caches[0].requests) == before
 
 
 def test_sighup_takes_new_figures_and_the_events_that_the_file_holds(platform: Platform) -> None:
     platform.log.events.append({"seq": 2, "fleet": gone(platform, 0)})  # in `known` alone: nobody is woken
     platform.config["settings"]["bounds"]["max_attempts"] = 1
-    reload(platform, known=platform.log.page(1))
+    reload_config(platform, known=platform.log.page(1))
     platform.caches[1].reply = lambda _: response(500)
     client = platform.client()
-    client.ask()
-    assert client.answer()[0] != SERVED
-    assert len(platform.caches[1].seen) == 1 and not platform.caches[0].seen
+    client.send_request()
+    assert client.read_response()[0] != SERVED
+    assert len(platform.caches[1].requests) == 1 and not platform.caches[0].requests
 
 
 @pytest.mark.parametrize("text", ["{", "[]", '{"listen": "127.0.0.1:0"}', "other classes", "other listen"])
@@ -80,12 +80,14 @@
         held["settings"]["classes"].reverse()
     elif text == "other listen":
         held["listen"] = "127.0.0.1:1"
-    reload(platform, json.dumps(held) if text.startswith("other") else text, changelog=ChangeLog().address)
+    reload_config(
+        platform, json.dumps(held) if text.startswith("other") else text, changelog=ChangeLog().address
+    )
     assert any("stays as it was" in x for x in platform.program.lines)
-    platform.tell(invalidate={"object": f"{7:016x}", "time": now_ms()})  # still heard from the old log
+    platform.publish(invalidate={"object": f"{7:016x}", "time": now_ms()})  # still heard from the old log
     client = platform.client()
-    client.ask()
-    assert client.answer()[0] == SERVED
+    client.send_request()
+    assert client.read_response()[0] == SERVED
 
 
 def polls(reply: Callable[[int, int], bytes | None], platform: Platform) -> list[tuple[int, float]]:
@@ -93,11 +95,11 @@
     seen: list[tuple[int, float]] = []
 
     def answer(asked: Any) -> bytes | None:
-        since, _ = polled(asked)
+        since, _ = poll_parameters(asked)
         seen.append((since, time.monotonic()))
         return reply(len(seen), since)
 
-    reload(platform, changelog=Http(answer).address)
+    reload_config(platform, changelog=HttpStandIn(answer).address)
     return seen
 
 
@@ -139,21 +141,21 @@
         asked.wait(0.3)  # no request may end this wait
         return page({"seq": 2, "fleet": gone(platform, 0)})
 
-    platform.all_reply(cache)
-    platform.start(changelog=Http(answer).address)
+    platform.set_reply(cache)
+    platform.start(changelog=HttpStandIn(answer).address)
     client = platform.client()
     for row in range(1, 9):
-        client.ask(row=row)
-        assert client.answer()[0] == SERVED
-    assert not platform.caches[0].seen and len(platform.caches[1].seen) == 8
+        client.send_request(row=row)
+        assert client.read_response()[0] == SERVED
+    assert not platform.caches[0].requests and len(platform.caches[1].requests) == 8
     assert platform.program.stop() == 0
 
 
 def test_a_gateway_starts_with_what_it_knows_where_the_log_stays_silent(tmp_path: Path) -> None:
-    platform = Platform(tmp_path).start(changelog=Http(lambda _: None).address)
+    platform = Platform(tmp_path).start(changelog=HttpStandIn(lambda _: None).address)
     client = platform.client()
-    client.ask()
-    assert client.answer()[0] == SERVED
+    client.send_request()
+    assert client.read_response()[0] == SERVED
     assert any("beginning with what the configuration knows" in x for x in platform.program.lines)
     assert platform.program.stop() == 0
 
--- a/tests/run/test_team_fronts.py
+++ b/tests/run/test_team_fronts.py
@@ -20,7 +20,7 @@
 from hallproxy.run import contracts
 from hallproxy.wire import frames
 from tests.support.gateway import ROOT, Platform, until
-from tests.support.repository_front import PROJECT, Front, auth
+from tests.support.repository_front import PROJECT, Front, basic_auth
 
 TEAMS = """
 [teams.a]
@@ -48,7 +48,7 @@
 @pytest.fixture
 def platform(tmp_path: Path) -> Iterator[Platform]:
     (tmp_path / "teams.toml").write_text(TEAMS)
-    made = Platform(tmp_path, words=("--teams", str(tmp_path / "teams.toml"))).start()
+    made = Platform(tmp_path, args=("--teams", str(tmp_path / "teams.toml"))).start()
     yield made
     made.program.process.kill()
     made.program.wait()
@@ -59,8 +59,8 @@
     codes = {"a": [], "b": []}  # type: ignore[var-annotated]
     for n in range(5):
         for team, group in (("a", 3), ("b", 200)):
-            client.ask(op="small", row=n * 10 + group, batch=str(group))
-            code, fields, _ = client.answer()
+            client.send_request(op="small", row=n * 10 + group, batch=str(group))
+            code, fields, _ = client.read_response()
             codes[team].append(code)
             assert code == frames.SERVED or int(fields["pushback"]) > 1000
     assert codes["a"] == [frames.SERVED] * 3 + [frames.REJECTED] * 2 and set(codes["b"]) == {frames.SERVED}
@@ -69,11 +69,11 @@
 def test_a_key_of_one_team_is_refused_to_another_on_the_platforms_front(platform: Platform) -> None:
     client = platform.client()
     for group, code in ((200, frames.SERVED), (3, frames.REJECTED), (200, frames.SERVED)):
-        client.ask(
+        client.send_request(
             op="close", row=group, batch=str(group), dedupe="same", rep="1" if code == frames.SERVED else "0"
         )
-        assert client.answer()[0] == code
-    assert len(platform.seen) == 2
+        assert client.read_response()[0] == code
+    assert len(platform.requests) == 2
 
 
 def test_the_teams_file_is_read_anew_whole_or_not_at_all(platform: Platform) -> None:
@@ -87,8 +87,8 @@
     until(lambda: any("was read anew" in line for line in platform.program.lines))
     said = []
     for n in range(2):
-        client.ask(op="small", row=n, batch="200")
-        said.append(client.answer()[0])
+        client.send_request(op="small", row=n, batch="200")
+        said.append(client.read_response()[0])
     assert said == [frames.SERVED, frames.REJECTED]
 
 
@@ -113,13 +113,13 @@
     assert changed[0] in TEAMS
     (tmp_path / "teams.toml").write_text(TEAMS.replace(*changed, 1))
     made = Platform(tmp_path)
-    made.words = ("--teams", str(tmp_path / "teams.toml"))
+    made.args = ("--teams", str(tmp_path / "teams.toml"))
     config = tmp_path / "config.json"
     from tests.support.gateway import platform_settings
 
     config.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": platform_settings()}))
     ran = subprocess.run(
-        [sys.executable, "-m", "hallproxy", *made.words], cwd=ROOT, capture_output=True, text=True,
+        [sys.executable, "-m", "hallproxy", *made.args], cwd=ROOT, capture_output=True, text=True,
         env={"EDGE_CONFIG": str(config)}, timeout=30,
     )  # fmt: skip
     assert ran.returncode == 1 and says in ran.stderr and ran.stderr.count("\n") == 1, ran.stderr
@@ -152,18 +152,18 @@
     in_force(front, file_of(a="|retry_share = 0.5", b='networks = ["10.0.0.0/8"]', ops="operator = true"))
     front.start(contracts=True)
     path = f"/simple/{PROJECT}/"
-    a = auth("a", "a")
+    a = basic_auth("a", "a")
     codes = [front.get(path, Authorization=a).status for _ in range(2)]
     again = [front.get(path, Authorization=a, Retry_Attempt="1") for _ in range(3)]
     assert codes == [200, 200] and [g.status for g in again] == [200, 429, 429]
     assert int(again[-1].fields["retry-after"]) >= 1
-    assert front.get(path, Authorization=auth("b", "b")).status == 403
+    assert front.get(path, Authorization=basic_auth("b", "b")).status == 403
     own = json.loads(front.get("/.use", Authorization=a).body)
     assert list(own) == ["teams"] and list(own["teams"]) == ["a"]
     counts = own["teams"]["a"]["counts"]
     assert counts["served"] == 3 and counts["refused: retry budget"] == 2 and counts["retries spent"] == 1
     assert front.get("/.use").status == 401
-    whole = json.loads(front.get("/.use", Authorization=auth("ops", "ops")).body)
+    whole = json.loads(front.get("/.use", Authorization=basic_auth("ops", "ops")).body)
     assert set(whole) == {"teams", "capacity", "places"} and "b" in whole["teams"]
     (tmp_path / "token").write_text("ops\n")
     words = ["usage", "--at", f"127.0.0.1:{front.program.port}", "--team", "ops", "--token-file"]
--- a/tests/state/test_reducer.py
+++ b/tests/state/test_reducer.py
@@ -91,7 +91,7 @@
     for n in range(20):
         opened = [
             e
-            for e in harness.request(n, obj=n + 1)
+            for e in harness.request(n, object_id=n + 1)
             if isinstance(e, effects.OpenConnection | effects.SendRequest)
         ]
         connection = opened[0].connection
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What several test packages share: stand-ins, drivers and the programs under test."""
+"""Test support shared by several packages: stand-ins, drivers and the programs under test."""
--- a/tests/support/capacity_runs.py
+++ b/tests/support/capacity_runs.py
@@ -11,6 +11,6 @@
 from hallproxy.lab.capacity.results import Result
 
 
-def run_of(path: Path, *words: str) -> tuple[int, str, list[Result]]:
-    ran = CliRunner().invoke(main, ["run", "--tiny", "--repeats", "1", "--out", str(path), *words])
-    return ran.exit_code, ran.output, results.read(path, tiny=True) if path.exists() else []
+def run_tiny(path: Path, *args: str) -> tuple[int, str, list[Result]]:
+    outcome = CliRunner().invoke(main, ["run", "--tiny", "--repeats", "1", "--out", str(path), *args])
+    return outcome.exit_code, outcome.output, results.read(path, tiny=True) if path.exists() else []
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,4 +1,4 @@
-"""A small hand-made fleet for the tests, and a driver that plays the servers' part by hand."""
+"""A small fleet for the tests, and a driver that sends requests to a router and ends its attempts."""
 
 from __future__ import annotations
 
@@ -64,21 +64,23 @@
 
 CACHES = [Endpoint(b"cache%d" % n, EndpointState.READY, kind=0, zone=2, weight=10.0) for n in range(4)]
 FAR_CACHE = Endpoint(b"other", EndpointState.READY, kind=0, zone=3, weight=10.0)
-NEAR = [Endpoint(b"near%d" % n, EndpointState.READY, kind=1, zone=0, weight=30.0) for n in range(2)]
-NEXT = [Endpoint(b"next0", EndpointState.READY, kind=1, zone=1, weight=30.0)]
+HUB_PARENTS = [Endpoint(b"near%d" % n, EndpointState.READY, kind=1, zone=0, weight=30.0) for n in range(2)]
+OTHER_HUB_PARENTS = [Endpoint(b"next0", EndpointState.READY, kind=1, zone=1, weight=30.0)]
 ORIGIN = Endpoint(b"origin", EndpointState.READY, kind=2, zone=0, weight=30.0)
-FLEET = [*CACHES, FAR_CACHE, *NEAR, *NEXT, ORIGIN]
+FLEET = [*CACHES, FAR_CACHE, *HUB_PARENTS, *OTHER_HUB_PARENTS, ORIGIN]
 
 
 class Driver:
-    """One router, its clock, and what it has out."""
+    """A router with its clock, its timers and the attempts it has started."""
 
-    def __init__(self, fleet: Sequence[Endpoint] = tuple(FLEET), seed: int = 7, **changed: Any) -> None:
-        self.settings = replace(SETTINGS, **changed)
+    def __init__(
+        self, fleet: Sequence[Endpoint] = tuple(FLEET), seed: int = 7, **changed_settings: Any
+    ) -> None:
+        self.settings = replace(SETTINGS, **changed_settings)
         self.router = Router(self.settings, seed)
         self.now = START
         self.next_id = 1
-        self.sent: dict[int, list[StartAttempt]] = {}
+        self.attempts: dict[int, list[StartAttempt]] = {}
         self.timers: list[SetTimer] = []
         self.handle(EndpointsChanged(EndpointListKind.CACHED, tuple(fleet)))
 
@@ -86,44 +88,59 @@
         actions = self.router.handle(self.now, events)
         for action in actions:
             if isinstance(action, StartAttempt):
-                self.sent.setdefault(action.request_id, []).append(action)
+                self.attempts.setdefault(action.request_id, []).append(action)
             elif isinstance(action, SetTimer):
                 self.timers.append(action)
         return actions
 
-    def ask(
-        self, obj: int = 1, cls: int = 0, size: float = 400.0, left: int = 5 * SECOND, **more: Any
+    def request(
+        self,
+        object_id: int = 1,
+        class_index: int = 0,
+        size: float = 400.0,
+        time_left: int = 5 * SECOND,
+        **request_fields: Any,
     ) -> int:
-        ident, self.next_id = self.next_id, self.next_id + 1
-        self.handle(Request(ident, cls, left, object=obj, size_kb=size, **more))
-        return ident
-
-    def end(
-        self, ident: int, status: AttemptStatus = AttemptStatus.OK, latency: int = 50 * MS, note: int = 0
+        """Send a new request and return its id."""
+        request_id, self.next_id = self.next_id, self.next_id + 1
+        self.handle(
+            Request(request_id, class_index, time_left, object=object_id, size_kb=size, **request_fields)
+        )
+        return request_id
+
+    def end_attempt(
+        self,
+        request_id: int,
+        status: AttemptStatus = AttemptStatus.OK,
+        latency: int = 50 * MS,
+        cache_status: int = 0,
     ) -> list[Action]:
-        attempt = len(self.sent[ident]) - 1
-        get = self.sent[ident][-1]
+        """End the request's latest attempt."""
+        attempt = len(self.attempts[request_id]) - 1
+        started = self.attempts[request_id][-1]
         closed = status is AttemptStatus.OK
-        return self.handle(AttemptEnded(ident, attempt, get.endpoint, status, latency, closed, note))
-
-    def first(self, **more: Any) -> StartAttempt:
-        """The first attempt of a new request, which is then served."""
-        ident = self.ask(**more)
-        self.end(ident)
-        return self.sent[ident][0]
-
-    def serve(self, times: int, first: int = 1, **more: Any) -> None:
-        """Requests for ``times`` different objects, each answered in time."""
-        for n in range(times):
-            ident = self.ask(obj=first + n, **more)
+        return self.handle(
+            AttemptEnded(request_id, attempt, started.endpoint, status, latency, closed, cache_status)
+        )
+
+    def first_attempt(self, **request_fields: Any) -> StartAttempt:
+        """The first attempt of a new request, which is then answered."""
+        request_id = self.request(**request_fields)
+        self.end_attempt(request_id)
+        return self.attempts[request_id][0]
+
+    def serve_objects(self, count: int, first_object: int = 1, **request_fields: Any) -> None:
+        """Send a request for each of ``count`` objects in turn and answer it after 50 ms."""
+        for n in range(count):
+            request_id = self.request(object_id=first_object + n, **request_fields)
             self.now += 50 * MS
-            self.end(ident)
+            self.end_attempt(request_id)
 
-    def wait(self, time: int) -> list[Action]:
-        """Let time pass, the timers firing as they fall due."""
+    def advance(self, duration: int) -> list[Action]:
+        """Let ``duration`` ns pass, and fire the timers that are due meanwhile."""
         from hallproxy.interface import TimerFired
 
-        until, actions = self.now + time, []
+        until, actions = self.now + duration, []
         while True:
             due = [t for t in self.timers if t.at <= until]
             if not due:
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback: a change log, stores that do as they are told, and the program under test."""
+"""Stand-ins on loopback (a change log, stores with scripted replies) and the program under test."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 ROOT = Path(__file__).parents[2]
 _CLIENTS = itertools.count(1)
-DEADLINE = 10.0  # s after which a condition that was waited for has failed
+DEADLINE = 10.0  # s within which an awaited condition must hold
 
 
 def until(condition: Callable[[], Any]) -> Any:
-    """Wait for a condition, not for a time."""
-    end = time.monotonic() + DEADLINE
-    while time.monotonic() < end:
-        found = condition()
-        if found:
-            return found
+    """Poll the condition until it holds and return its value; AssertionError after ``DEADLINE``."""
+    deadline = time.monotonic() + DEADLINE
+    while time.monotonic() < deadline:
+        value = condition()
+        if value:
+            return value
         time.sleep(0.005)
-    raise AssertionError("what was waited for did not come")
+    raise AssertionError("the condition did not hold within the deadline")
 
 
 def now_ms() -> int:
@@ -40,13 +40,13 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """Close the connection so that the other side meets a reset."""
+    """Close the connection with a reset (RST) instead of a FIN."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 class Listener:
-    """A TCP server whose connections are handled by one function each, in threads."""
+    """A TCP server that runs ``handle`` for each connection, in a thread of its own."""
 
     def __init__(self, handle: Callable[[socket.socket], None]) -> None:
         self._sock = socket.create_server(("127.0.0.1", 0), backlog=64)
@@ -58,35 +58,35 @@
     def _accept(self) -> None:
         while True:
             try:
-                made, _ = self._sock.accept()
+                connection, _ = self._sock.accept()
             except OSError:
                 return
-            self.connections.append(made)
-            threading.Thread(target=self._run, args=(made,), daemon=True).start()
+            self.connections.append(connection)
+            threading.Thread(target=self._run, args=(connection,), daemon=True).start()
 
-    def _run(self, made: socket.socket) -> None:
+    def _run(self, connection: socket.socket) -> None:
         try:
-            self._handle(made)
+            self._handle(connection)
         except OSError:
             pass
         finally:
-            made.close()
+            connection.close()
 
     def close(self) -> None:
-        # shutdown wakes the accept; close alone would leave the port open until it returns
+        # shutdown wakes the blocked accept; close alone would leave the port open until accept returns
         self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
-        for made in self.connections:
+        for connection in self.connections:
             try:
-                made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                made.shutdown(socket.SHUT_RDWR)
+                connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                connection.shutdown(socket.SHUT_RDWR)
             except OSError:
                 pass
 
 
 @dataclass
-class Seen:
-    """One request as it came to a stand-in."""
+class ReceivedRequest:
+    """One request as a stand-in received it."""
 
     path: str
     fields: dict[str, str]
@@ -94,7 +94,7 @@
     at_ms: int
 
 
-def read_request(file: Any) -> Seen | None:
+def read_request(file: Any) -> ReceivedRequest | None:
     line = file.readline()
     if not line:
         return None
@@ -103,7 +103,7 @@
         name, _, value = field_line.decode().partition(":")
         fields[name.lower()] = value.strip()
     body = file.read(int(fields.get("content-length", 0)))
-    return Seen(line.split()[1].decode(), fields, body, now_ms())
+    return ReceivedRequest(line.split()[1].decode(), fields, body, now_ms())
 
 
 def response(status: int, body: bytes = b"", **fields: str) -> bytes:
@@ -112,89 +112,97 @@
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-Reply = Callable[[Seen], bytes | None]
+Reply = Callable[[ReceivedRequest], bytes | None]
 
 
-class Http:
-    """A stand-in over HTTP/1.1. ``reply`` gives the bytes to write; None: silence. b"" closes."""
+class HttpStandIn:
+    """An HTTP/1.1 stand-in. ``reply`` returns the bytes to send; None: send nothing; b"": close."""
 
     def __init__(self, reply: Reply) -> None:
         self.reply = reply
-        self.halts = False  # after half an answer: stays open and quiet
-        self.seen: list[Seen] = []
+        self.stalls_after_partial = False  # keep the connection open after an incomplete response
+        self.requests: list[ReceivedRequest] = []
         self.listener = Listener(self._serve)
         self.address = self.listener.address
 
-    def _serve(self, made: socket.socket) -> None:
-        file = made.makefile("rb")
-        while (seen := read_request(file)) is not None:
-            self.seen.append(seen)
-            said = self.reply(seen)
-            if said is None:
-                file.read(1)  # silence until the other side closes
+    def _serve(self, connection: socket.socket) -> None:
+        file = connection.makefile("rb")
+        while (request := read_request(file)) is not None:
+            self.requests.append(request)
+            data = self.reply(request)
+            if data is None:
+                file.read(1)  # send nothing until the peer closes
                 return
-            if not said:
+            if not data:
                 return
-            made.sendall(said)
-            head, _, body = said.partition(b"\r\n\r\n")
+            connection.sendall(data)
+            head, _, body = data.partition(b"\r\n\r\n")
             if b"Content-Length: %d\r" % len(body) not in head + b"\r":
-                if self.halts:
+                if self.stalls_after_partial:
                     file.read(1)
-                return  # a half answer is followed by a close
+                return  # close after an incomplete response
 
 
-def ok(body: bytes = b"bytes", tag: str = "t1", born: int = 0) -> Reply:
-    return lambda _: response(200, body, ETag=tag, X_Born_Ms=str(born or now_ms()))
+def ok(body: bytes = b"bytes", etag: str = "t1", born_ms: int = 0) -> Reply:
+    return lambda _: response(200, body, ETag=etag, X_Born_Ms=str(born_ms or now_ms()))
 
 
-def says(status: int, **fields: str) -> Reply:
+def reply_with(status: int, **fields: str) -> Reply:
     return lambda _: response(status, b"", **fields)
 
 
-def polled(seen: Seen) -> tuple[int, int]:
-    """What a poll of the change log asks: the number it holds, and how long (ms) it waits."""
-    since, wait = (int(x.split("=")[1]) for x in seen.path.split("?")[1].split("&"))
+def poll_parameters(request: ReceivedRequest) -> tuple[int, int]:
+    """The parameters of a change-log poll: the last sequence number received, and the timeout in ms."""
+    since, wait = (int(x.split("=")[1]) for x in request.path.split("?")[1].split("&"))
     return since, wait
 
 
 class ChangeLog:
-    """Numbered events, told to whoever asks for later ones."""
+    """A change log: numbered events, served by long polling."""
 
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
-        self.polled: list[int] = []
-        self._more = threading.Condition()
-        self._http = Http(self._answer)
+        self.polls: list[int] = []
+        self._changed = threading.Condition()
+        self._http = HttpStandIn(self._answer)
         self.address = self._http.address
 
     def add(self, **event: Any) -> int:
-        with self._more:
+        with self._changed:
             self.events.append({"seq": len(self.events) + 1, **event})
-            self._more.notify_all()
+            self._changed.notify_all()
             return len(self.events)
 
     def page(self, since: int = 0) -> dict[str, Any]:
         return {"seq": len(self.events), "results": self.events[since:]}
 
-    def heard(self, seq: int) -> bool:
-        """The gateway asks for what comes after it: so it holds it."""
-        return seq in self.polled
+    def acknowledged(self, seq: int) -> bool:
+        """Whether a poll has asked for the events after ``seq``, which confirms that ``seq`` was received."""
+        return seq in self.polls
 
-    def _answer(self, seen: Seen) -> bytes:
-        since, wait = polled(seen)
-        with self._more:
-            self.polled.append(since)
-            self._more.wait_for(lambda: len(self.events) > since, wait / 1000)
+    def _answer(self, request: ReceivedRequest) -> bytes:
+        since, wait = poll_parameters(request)
+        with self._changed:
+            self.polls.append(since)
+            self._changed.wait_for(lambda: len(self.events) > since, wait / 1000)
             return response(200, json.dumps(self.page(since)).encode())
 
 
-def member(ident: str, address: str, kind: str, state: str = "Ready", zone: str = "here", **more: Any) -> Any:
-    return {"instanceId": ident, "hostPort": address, "zone": zone, "machineType": kind, "cell": 0,
-            "lifecycle": state, "weight": 4, "startedAtMs": 0, **more}  # fmt: skip
+def instance_record(
+    instance_id: str,
+    address: str,
+    machine_type: str,
+    state: str = "Ready",
+    zone: str = "here",
+    **extra_fields: Any,
+) -> Any:
+    return {"instanceId": instance_id, "hostPort": address, "zone": zone,
+            "machineType": machine_type, "cell": 0, "lifecycle": state, "weight": 4,
+            "startedAtMs": 0, **extra_fields}  # fmt: skip
 
 
 def platform_settings() -> dict[str, Any]:
-    """The wire test's settings, made into a site with three classes and one zone."""
+    """The simulator options of the wire tests, changed to four classes and one zone."""
     settings: dict[str, Any] = json.loads(json.dumps(OPTIONS))
     first = settings["classes"][0]
     settings["classes"] = [
@@ -214,7 +222,7 @@
 
 
 class Program:
-    """One process of the program, and what it says on standard error."""
+    """A hallproxy process and the lines it writes to standard error."""
 
     def __init__(self, *args: str, **environ: str) -> None:
         env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")} | environ
@@ -244,95 +252,98 @@
 
 
 class Client:
-    """One client connection in the platform's frames."""
+    """A client connection that speaks the platform's frames."""
 
     def __init__(self, port: int) -> None:
         self.sock = socket.create_connection(("127.0.0.1", port))
         self.sock.settimeout(DEADLINE)
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what is sent is there
+        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # each frame leaves at once
         self._last = 0
-        self.base = next(_CLIENTS) << 32  # ids are new with every request of all clients
+        self.base = next(_CLIENTS) << 32  # request ids are unique across all clients
 
-    def send(self, kind: int, stream: int, payload: bytes = b"") -> None:
+    def send_frame(self, kind: int, stream: int, payload: bytes = b"") -> None:
         self.sock.sendall(b"".join(frames.encode_frame(kind, stream, payload)))
 
-    def ask(self, op: str = "segment", row: int = 1, nth: int = 0, body: bytes = b"",
-            fields: dict[str, str] | None = None, **more: str) -> int:  # fmt: skip
+    def send_request(self, op: str = "segment", row: int = 1, nth: int = 0, body: bytes = b"",
+                     fields: dict[str, str] | None = None, **extra_fields: str) -> int:  # fmt: skip
         self._last += 1
-        said = {"op": op, "call": f"{self.base + self._last:016x}", "ttl": "2000", "row": f"{row:016x}"}
-        said |= {"nth": str(nth), "batch": "1", "heap": "40.0"} | more | (fields or {})
-        self.send(frames.REQUEST, self._last, frames.encode_fields(said) + body)
+        request = {"op": op, "call": f"{self.base + self._last:016x}", "ttl": "2000", "row": f"{row:016x}"}
+        request |= {"nth": str(nth), "batch": "1", "heap": "40.0"} | extra_fields | (fields or {})
+        self.send_frame(frames.REQUEST, self._last, frames.encode_fields(request) + body)
         return self._last
 
-    def read(self) -> tuple[int, int, bytes] | None:
+    def read_frame(self) -> tuple[int, int, bytes] | None:
         """The next frame: type, stream, payload; None at a close."""
-        head = self._exactly(4)
+        head = self._read_exactly(4)
         if head is None:
             return None
-        rest = self._exactly(int.from_bytes(head, "big"))
-        assert rest is not None, "a frame that breaks off"
+        rest = self._read_exactly(int.from_bytes(head, "big"))
+        assert rest is not None, "the connection closed within a frame"
         return rest[0], int.from_bytes(rest[1:5], "big"), rest[5:]
 
-    def answer(self) -> tuple[int, dict[str, str], bytes]:
-        """The next answer: code, fields, body."""
-        frame = self.read()
+    def read_response(self) -> tuple[int, dict[str, str], bytes]:
+        """The next response: code, fields, body."""
+        frame = self.read_frame()
         assert frame is not None and frame[0] == frames.RESPONSE, frame
         fields, body = frames.decode_fields(memoryview(frame[2])[1:])
         return frame[2][0], fields, bytes(body)
 
-    def _exactly(self, size: int) -> bytes | None:
+    def _read_exactly(self, size: int) -> bytes | None:
         data = b""
         while len(data) < size:
             try:
-                more = self.sock.recv(size - len(data))
+                chunk = self.sock.recv(size - len(data))
             except ConnectionResetError:
-                more = b""
-            if not more:
+                chunk = b""
+            if not chunk:
                 return None
-            data += more
+            data += chunk
         return data
 
 
 @dataclass
 class Platform:
-    """A gateway with two caches, a parent and the origin, all by hand."""
+    """A gateway process with its change log and two stand-in caches; parent and origin are unreachable."""
 
     path: Path
     limits: dict[str, Any] = field(default_factory=lambda: {"memory_mb": 192, "sockets": 256})
-    caches: list[Http] = field(default_factory=lambda: [Http(ok()), Http(ok())])
-    changed: Callable[[dict[str, Any]], None] = lambda settings: None
-    words: tuple[str, ...] = ()  # of the command line
+    caches: list[HttpStandIn] = field(default_factory=lambda: [HttpStandIn(ok()), HttpStandIn(ok())])
+    change_settings: Callable[[dict[str, Any]], None] = lambda settings: None
+    args: tuple[str, ...] = ()  # command-line arguments
 
-    def start(self, **more: Any) -> Platform:
+    def start(self, **extra_config: Any) -> Platform:
         self.log = ChangeLog()
-        lines = [member(f"s-{n}", c.address, "std") for n, c in enumerate(self.caches)]
-        lines += [member("p-0", "127.0.0.1:1", "parent"), member("o-0", "127.0.0.1:1", "origin")]
-        self.log.add(fleet={"generation": 1, "reset": True, "instances": lines})
+        instances = [instance_record(f"s-{n}", c.address, "std") for n, c in enumerate(self.caches)]
+        instances += [
+            instance_record("p-0", "127.0.0.1:1", "parent"),
+            instance_record("o-0", "127.0.0.1:1", "origin"),
+        ]
+        self.log.add(fleet={"generation": 1, "reset": True, "instances": instances})
         settings = platform_settings()
-        self.changed(settings)
+        self.change_settings(settings)
         self.config = {"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f", "limits": self.limits,
                        "changelog": self.log.address, "flow_bytes_per_s": 10**7, "link_bytes_per_s": 10**7,
-                       "known": self.log.page(), "settings": settings, **more}  # fmt: skip
+                       "known": self.log.page(), "settings": settings, **extra_config}  # fmt: skip
         (self.path / "config.json").write_text(json.dumps(self.config))
-        self.program = Program(*self.words, EDGE_CONFIG=str(self.path / "config.json"), EDGE_NAME="n1")
+        self.program = Program(*self.args, EDGE_CONFIG=str(self.path / "config.json"), EDGE_NAME="n1")
         return self
 
     def client(self) -> Client:
         return Client(self.program.port)
 
-    def all_reply(self, reply: Reply) -> None:
+    def set_reply(self, reply: Reply) -> None:
         for cache in self.caches:
             cache.reply = reply
 
     @property
-    def seen(self) -> list[Seen]:
-        return sorted((s for c in self.caches for s in c.seen), key=lambda s: s.at_ms)
+    def requests(self) -> list[ReceivedRequest]:
+        return sorted((s for c in self.caches for s in c.requests), key=lambda s: s.at_ms)
 
-    def tell(self, **event: Any) -> None:
-        """Add an event and wait until the gateway holds it."""
+    def publish(self, **event: Any) -> None:
+        """Add an event and wait until the gateway has received it."""
         seq = self.log.add(**event)
-        until(lambda: self.log.heard(seq))
+        until(lambda: self.log.acknowledged(seq))
 
     def drain(self, number: int, state: str = "Terminating") -> None:
-        line = member(f"s-{number}", self.caches[number].address, "std", state)
-        self.tell(fleet={"generation": 2, "reset": False, "instances": [line]})
+        instance = instance_record(f"s-{number}", self.caches[number].address, "std", state)
+        self.publish(fleet={"generation": 2, "reset": False, "instances": [instance]})
--- a/tests/support/imports.py
+++ b/tests/support/imports.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 ImportGraph = dict[str, set[str]]
-"""Each module's name, and the names of those modules of the same tree that it imports."""
+"""Each module's name, and the names of the modules of the same package that it imports."""
 
 
 def import_graph(root: Path, package: str) -> ImportGraph:
@@ -49,7 +49,7 @@
             yield f"{source}.{alias.name}"
 
 
-def circles(graph: ImportGraph) -> set[frozenset[str]]:
+def cycles(graph: ImportGraph) -> set[frozenset[str]]:
     """The groups of modules that all reach one another (strongly connected components)."""
     reachable = {name: _reachable(graph, name) for name in graph}
     return {
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -54,7 +54,7 @@
 
     ``whole_suite``: the run collects every test, though it may deselect some of them (``-m``, ``-k``); an
     entry that was not collected then names no test. Workers report what they collected to their controller,
-    which judges.
+    which reports the entries that name no test.
     """
 
     def __init__(self, path: Path, whole_suite: bool) -> None:
@@ -66,16 +66,14 @@
         except ValueError as error:
             raise pytest.UsageError(str(error)) from None
 
-    @pytest.hookimpl(
-        tryfirst=True
-    )  # ahead of deselection: a test of the run's other part exists all the same
+    @pytest.hookimpl(tryfirst=True)  # before deselection: a deselected test still exists
     def pytest_collection_modifyitems(self, config: pytest.Config, items: Iterable[pytest.Item]) -> None:
         """Expect the listed tests to fail, and note which of them exist."""
         collected = {item.nodeid: item for item in items}
         for failure in self._failures:
             item = collected.get(failure.test)
             if item is not None:
-                # strict: a test that passes has been fixed, and its entry has to go
+                # strict: a test that passes has been fixed, and its entry must be removed
                 item.add_marker(pytest.mark.xfail(reason=failure.observed, strict=True))
                 self._collected.add(failure.test)
         self._collection_seen = True
@@ -85,7 +83,7 @@
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_testnodedown(self, node: Any) -> None:
-        """In the controller: what a worker that ends has collected."""
+        """In the controller: add what a finished worker has collected."""
         worker_output = getattr(node, "workeroutput", {})
         if _COLLECTED in worker_output:
             self._collected.update(worker_output[_COLLECTED])
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,4 +1,4 @@
-"""What tests do with a running gateway: suspend it, reload it, count what it sends."""
+"""Helpers for a running gateway: suspend it, reload it, count what it sends."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @contextmanager
 def suspended(program: Program) -> Iterator[None]:
-    """The process stands still: all that arrives meanwhile is there when it continues."""
+    """Suspend the process (SIGSTOP); what arrives meanwhile is queued in its sockets until it continues."""
     stat = Path(f"/proc/{program.process.pid}/stat")
     program.process.send_signal(signal.SIGSTOP)
     until(lambda: stat.read_text().rsplit(")", 1)[1].split()[0] == "T")
@@ -24,7 +24,7 @@
 
 
 async def eventually(condition: Callable[[], Any]) -> None:
-    """Let the event loop run until the condition holds."""
+    """Wait for the condition while the event loop runs."""
     async with asyncio.timeout(10):
         while not condition():
             await asyncio.sleep(0.002)
@@ -38,11 +38,11 @@
 
 def upstream_requests(platform: Platform, row: int) -> int:
     """How many requests for the object the endpoints have received."""
-    return sum(f"{row:016x}" in s.path for s in platform.seen)
+    return sum(f"{row:016x}" in r.path for r in platform.requests)
 
 
-def reload(platform: Platform, text: str | None = None, **changed: Any) -> None:
-    """Replace the file, send SIGHUP and wait for the log line about it."""
+def reload_config(platform: Platform, text: str | None = None, **changed: Any) -> None:
+    """Replace the configuration file, send SIGHUP and wait for the log line of the reload."""
     platform.config |= changed
     (platform.path / "config.json").write_text(json.dumps(platform.config) if text is None else text)
     before = reload_count(platform.program)
--- a/tests/support/reducer.py
+++ b/tests/support/reducer.py
@@ -1,4 +1,4 @@
-"""The reducer with a clock of its own and the timers that it has asked for, without a socket."""
+"""The reducer with a simulated clock and its scheduled timers, without sockets."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     ``timers`` are the scheduled events that have not fired. Effects are returned without timers and logs.
     """
 
-    def __init__(self, stores: int = 2, **changed: Any) -> None:
-        """``changed`` are fields of ``GatewayState``."""
+    def __init__(self, stores: int = 2, **state_fields: Any) -> None:
+        """``state_fields`` are fields of ``GatewayState``."""
         settings = settings_from_json(json.dumps(platform_settings()).encode())
-        self.state = GatewayState(settings, Router(settings, 1), **changed)
+        self.state = GatewayState(settings, Router(settings, 1), **state_fields)
         self.now = START
         self.timers: list[events.Event] = []
         endpoints = tuple(i.Endpoint(b"s-%d" % n, i.EndpointState.READY) for n in range(stores))
@@ -40,10 +40,10 @@
         self.timers += [e.event for e in emitted if isinstance(e, effects.ScheduleTimer)]
         return [e for e in emitted if not isinstance(e, effects.ScheduleTimer | effects.LogRecord)]
 
-    def request(self, downstream: int, obj: int = 1, class_index: int = 1) -> list[effects.Effect]:
+    def request(self, downstream: int, object_id: int = 1, class_index: int = 1) -> list[effects.Effect]:
         """Dispatch a request with a deadline of 2 s."""
-        name = f"{obj:016x}"
-        request = events.ClientRequest(f"id-{downstream}", class_index, 2 * SECOND, obj, name)
+        name = f"{object_id:016x}"
+        request = events.ClientRequest(f"id-{downstream}", class_index, 2 * SECOND, object_id, name)
         return self.dispatch(events.RequestReceived(self.now, downstream, request))
 
     def advance(self, duration: int) -> list[effects.Effect]:
--- a/tests/support/relays.py
+++ b/tests/support/relays.py
@@ -1,4 +1,4 @@
-"""Stand-ins about a relay of the change log: a log that fails on demand, followers by hand, the program."""
+"""Support for the relay tests: a change log that fails on demand, followers, and the relay program."""
 
 from __future__ import annotations
 
@@ -33,167 +33,168 @@
     ROOT,
     Listener,
     Program,
-    Seen,
+    ReceivedRequest,
     now_ms,
     platform_settings,
-    polled,
+    poll_parameters,
     read_request,
     response,
     until,
 )
 
-GROUPS = 256  # of purges: a whole page has one of each
+GROUPS = 256  # purge groups; a snapshot page has one purge of each
 Event = dict[str, Any]
-Way = Callable[["Log", Seen, socket.socket], bool]  # answers one poll; false ends the connection
+# Answers a poll; False: close the connection.
+PollHandler = Callable[["ScriptedLog", ReceivedRequest, socket.socket], bool]
 
 
-def purge(number: int, time_ms: int | None = None) -> Event:
-    """An object's purge; each number is another object."""
-    at = time_ms or now_ms()
-    return {"invalidate": {"object": f"{number:016x}", "bucket": number % GROUPS, "time": at}}
+def purge_event(number: int, time_ms: int | None = None) -> Event:
+    """A purge of the object with this number."""
+    purged_ms = time_ms or now_ms()
+    return {"invalidate": {"object": f"{number:016x}", "bucket": number % GROUPS, "time": purged_ms}}
 
 
-def members(*lines: Any, generation: int = 1, reset: bool = False) -> Event:
-    return {"fleet": {"generation": generation, "reset": reset, "instances": list(lines)}}
+def fleet_event(*instances: Any, generation: int = 1, reset: bool = False) -> Event:
+    return {"fleet": {"generation": generation, "reset": reset, "instances": list(instances)}}
 
 
-def tell(log: Log, seen: Seen, made: socket.socket) -> bool:
-    """The way of a log that is well."""
-    since, wait = polled(seen)
-    with log.more:
-        log.more.wait_for(lambda: log.last > since or log.way is not tell, wait / 1000)
-        way, page = log.way, log.page(since)
-    if way is not tell:
-        return way(log, seen, made)
-    made.sendall(response(200, page))
+def send_page(log: ScriptedLog, request: ReceivedRequest, connection: socket.socket) -> bool:
+    """The normal handler: wait for events up to the poll's timeout, then send a page."""
+    since, wait = poll_parameters(request)
+    with log.changed:
+        log.changed.wait_for(lambda: log.last > since or log.handler is not send_page, wait / 1000)
+        handler, page = log.handler, log.page(since)
+    if handler is not send_page:
+        return handler(log, request, connection)
+    connection.sendall(response(200, page))
     return True
 
 
-class Log:
-    """A change log by hand. Its numbers go on over ``forget``; ``way`` is how a poll is answered."""
+class ScriptedLog:
+    """A change log whose ``handler`` answers each poll, well or badly."""
 
-    def __init__(self, page_most: int = 20_000) -> None:
-        self.more = threading.Condition()
-        self.way: Way = tell
-        self.page_most = page_most
-        self.before = 0  # the number before the first event that it still holds
-        self.raw: list[bytes] = []
-        self.asked: list[tuple[int, int]] = []  # since, wait
-        self.seen: list[Seen] = []
+    def __init__(self, max_page_events: int = 20_000) -> None:
+        self.changed = threading.Condition()
+        self.handler: PollHandler = send_page
+        self.max_page_events = max_page_events
+        self.last_dropped = 0  # the sequence number before the first event that is kept
+        self.encoded_events: list[bytes] = []
+        self.polls: list[tuple[int, int]] = []  # since, wait
+        self.requests: list[ReceivedRequest] = []
         self._listener = Listener(self._serve)
         self.address = self._listener.address
 
     @property
     def last(self) -> int:
-        return self.before + len(self.raw)
+        return self.last_dropped + len(self.encoded_events)
 
     def add(self, *events: Event) -> int:
-        with self.more:
+        with self.changed:
             for event in events:
-                self.raw.append(json.dumps({"seq": self.last + 1, **event}).encode())
-            self.more.notify_all()
+                self.encoded_events.append(json.dumps({"seq": self.last + 1, **event}).encode())
+            self.changed.notify_all()
             return self.last
 
-    def begin_anew(self, *events: Event) -> None:
-        """Another life of the log: its numbers count from 1 again."""
-        with self.more:
-            self.before, self.raw = 0, []
+    def restart(self, *events: Event) -> None:
+        """Drop all events and number new ones from 1, as a new incarnation of the log."""
+        with self.changed:
+            self.last_dropped, self.encoded_events = 0, []
             self.add(*events)
 
-    def go(self, way: Way = tell) -> int:
-        """Answer in this way from now on, held polls too; how many polls had come before."""
-        with self.more:
-            self.way = way
-            self.more.notify_all()
-            return len(self.asked)
+    def set_handler(self, handler: PollHandler = send_page) -> int:
+        """Answer polls with ``handler``, waiting ones too; return the number of polls received so far."""
+        with self.changed:
+            self.handler = handler
+            self.changed.notify_all()
+            return len(self.polls)
 
     def page(self, since: int) -> bytes:
-        start = max(0, since - self.before)
-        chosen = self.raw[start : start + self.page_most]
-        return b'{"seq": %d, "results": [%s]}' % (self.last, b", ".join(chosen))
+        start = max(0, since - self.last_dropped)
+        page = self.encoded_events[start : start + self.max_page_events]
+        return b'{"seq": %d, "results": [%s]}' % (self.last, b", ".join(page))
 
-    def heard(self, seq: int) -> bool:
-        return any(since == seq for since, _ in self.asked)
+    def acknowledged(self, seq: int) -> bool:
+        return any(since == seq for since, _ in self.polls)
 
     def close(self) -> None:
         self._listener.close()
 
-    def _serve(self, made: socket.socket) -> None:
-        file = made.makefile("rb")
-        while (seen := read_request(file)) is not None:
-            self.seen.append(seen)
-            self.asked.append(polled(seen))
-            if not self.way(self, seen, made):
+    def _serve(self, connection: socket.socket) -> None:
+        file = connection.makefile("rb")
+        while (request := read_request(file)) is not None:
+            self.requests.append(request)
+            self.polls.append(poll_parameters(request))
+            if not self.handler(self, request, connection):
                 return
 
 
-# Ways to answer badly -----------------------------------------------------------------------------------
+# Handlers that answer badly -----------------------------------------------------------------------------
 
 
-def raw(whole: bytes | Callable[[Log, int], bytes]) -> Way:
-    """These bytes, whatever they are; the connection stays open."""
+def reply_with_bytes(data: bytes | Callable[[ScriptedLog, int], bytes]) -> PollHandler:
+    """A handler that sends these bytes and keeps the connection open."""
 
-    def way(log: Log, seen: Seen, made: socket.socket) -> bool:
-        made.sendall(whole if isinstance(whole, bytes) else whole(log, polled(seen)[0]))
+    def handler(log: ScriptedLog, request: ReceivedRequest, connection: socket.socket) -> bool:
+        connection.sendall(data if isinstance(data, bytes) else data(log, poll_parameters(request)[0]))
         return True
 
-    return way
+    return handler
 
 
-def body(make: Callable[[Log, int], bytes], **fields: str) -> Way:
-    return raw(lambda log, since: response(200, make(log, since), **fields))
+def reply_with_body(make: Callable[[ScriptedLog, int], bytes], **fields: str) -> PollHandler:
+    return reply_with_bytes(lambda log, since: response(200, make(log, since), **fields))
 
 
-def results(change: Callable[[list[Any]], Any]) -> Way:
-    """The page that a log that is well would send, with its list of events changed."""
+def reply_with_changed_events(change: Callable[[list[Any]], Any]) -> PollHandler:
+    """A handler that sends the correct page with its list of events changed."""
 
-    def make(log: Log, since: int) -> bytes:
+    def make(log: ScriptedLog, since: int) -> bytes:
         page = json.loads(log.page(since))
         changed = change(page["results"])
         page["results"] = page["results"] if changed is None else changed
         return json.dumps(page).encode()
 
-    return body(make)
+    return reply_with_body(make)
 
 
-def silent(log: Log, seen: Seen, made: socket.socket) -> bool:
-    """No answer until the other side ends the connection."""
-    made.recv(1)
+def never_answer(log: ScriptedLog, request: ReceivedRequest, connection: socket.socket) -> bool:
+    """Send nothing until the peer closes the connection."""
+    connection.recv(1)
     return False
 
 
-def hang_up(log: Log, seen: Seen, made: socket.socket) -> bool:
+def close_connection(log: ScriptedLog, request: ReceivedRequest, connection: socket.socket) -> bool:
     return False
 
 
-def half(log: Log, seen: Seen, made: socket.socket) -> bool:
-    """Half a page, then the end of the connection."""
-    whole = response(200, log.page(polled(seen)[0]))
-    made.sendall(whole[: len(whole) * 2 // 3])
+def send_partial_page(log: ScriptedLog, request: ReceivedRequest, connection: socket.socket) -> bool:
+    """Send two thirds of a page, then close the connection."""
+    data = response(200, log.page(poll_parameters(request)[0]))
+    connection.sendall(data[: len(data) * 2 // 3])
     return False
 
 
-def trickle(log: Log, seen: Seen, made: socket.socket) -> bool:
-    """A good page at ten bytes a second, for as long as it is taken."""
-    for byte in response(200, log.page(polled(seen)[0])):
-        made.sendall(bytes([byte]))
+def trickle_page(log: ScriptedLog, request: ReceivedRequest, connection: socket.socket) -> bool:
+    """Send a valid page at ten bytes per second."""
+    for byte in response(200, log.page(poll_parameters(request)[0])):
+        connection.sendall(bytes([byte]))
         time.sleep(0.1)
     return True
 
 
-def endless(log: Log, seen: Seen, made: socket.socket) -> bool:
-    """Chunks that never end, as fast as they are taken."""
-    made.sendall(b'HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\nb\r\n{"results":\r\n')
+def send_endless_body(log: ScriptedLog, request: ReceivedRequest, connection: socket.socket) -> bool:
+    """Send chunks without end, as fast as the peer reads them."""
+    connection.sendall(b'HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\nb\r\n{"results":\r\n')
     piece = b"10000\r\n" + b" " * 0x10000 + b"\r\n"
     while True:
-        made.sendall(piece)
+        connection.sendall(piece)
 
 
-# Followers by hand --------------------------------------------------------------------------------------
+# Followers ----------------------------------------------------------------------------------------------
 
 
 @dataclass
-class Answer:
+class RelayResponse:
     status: int
     fields: dict[str, str]
     body: bytes
@@ -201,22 +202,22 @@
 
     def page(self) -> dict[str, Any]:
         assert self.status == 200, (self.status, self.body)
-        plain = gzip.decompress(self.body) if self.fields.get("content-encoding") == "gzip" else self.body
-        page: dict[str, Any] = json.loads(plain)
+        decoded = gzip.decompress(self.body) if self.fields.get("content-encoding") == "gzip" else self.body
+        page: dict[str, Any] = json.loads(decoded)
         return page
 
     @property
     def events(self) -> list[Event]:
-        found: list[Event] = self.page()["results"]
-        return found
+        events: list[Event] = self.page()["results"]
+        return events
 
     @property
     def numbers(self) -> list[int]:
         return [event["seq"] for event in self.events]
 
 
-class Line:
-    """One connection to a relay."""
+class RelayConnection:
+    """A client connection to a relay."""
 
     def __init__(self, port: int) -> None:
         self.sock = socket.create_connection(("127.0.0.1", port))
@@ -229,11 +230,11 @@
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in fields.items()]
         self.sock.sendall("\r\n".join([*lines, "", ""]).encode())
 
-    def answer(self) -> Answer:
-        """The next answer; ConnectionError if the connection ended instead."""
+    def read_response(self) -> RelayResponse:
+        """The next response; ConnectionError if the connection closes before its end."""
         start = self._file.readline()
         if not start.endswith(b"\n"):
-            raise ConnectionError("no answer")
+            raise ConnectionError("the connection closed before a response")
         size = len(start)
         fields: dict[str, str] = {}
         while (line := self._file.readline()) not in (b"\r\n", b""):
@@ -241,17 +242,17 @@
             fields[name.lower()] = value.strip()
             size += len(line)
         length = int(fields["content-length"])
-        got = self._file.read(length)
-        if len(got) < length:
-            raise ConnectionError("half an answer")
-        return Answer(int(start.split()[1]), fields, got, size + 2 + length)
+        body = self._file.read(length)
+        if len(body) < length:
+            raise ConnectionError("the connection closed within a response body")
+        return RelayResponse(int(start.split()[1]), fields, body, size + 2 + length)
 
-    def ask(self, since: object, timeout: object = 0, **fields: str) -> Answer:
+    def poll(self, since: object, timeout: object = 0, **fields: str) -> RelayResponse:
         self.send(since, timeout, **fields)
-        return self.answer()
+        return self.read_response()
 
-    def ended(self) -> bool:
-        """Wait for the other side's end; true if nothing came before it."""
+    def closed_by_peer(self) -> bool:
+        """Wait until the peer closes; return whether it sent nothing before."""
         try:
             return self._file.read(1) == b""
         except ConnectionResetError:
@@ -262,16 +263,16 @@
         self.sock.close()
 
 
-def ask(port: int, since: object, timeout: object = 0, **fields: str) -> Answer:
-    line = Line(port)
+def poll(port: int, since: object, timeout: object = 0, **fields: str) -> RelayResponse:
+    connection = RelayConnection(port)
     try:
-        return line.ask(since, timeout, **fields)
+        return connection.poll(since, timeout, **fields)
     finally:
-        line.close()
+        connection.close()
 
 
-def is_whole(events: Sequence[Event]) -> bool:
-    """A whole page: the list anew, then each group's purge at one time, in numbers that follow each other."""
+def is_snapshot(events: Sequence[Event]) -> bool:
+    """Whether the events are a snapshot: the full list, then a purge per group of one time, in sequence."""
     first = events[0] if events else {}
     purges = [event.get("invalidate", {}) for event in events[1:]]
     return (
@@ -284,130 +285,132 @@
 
 
 class Follower:
-    """Polls a relay, or the next one when that fails, as the specification says, and checks every page."""
+    """Polls a relay as the specification says, the next one when it fails, and checks every page."""
 
     def __init__(self, ports: Sequence[int], since: int = 0) -> None:
-        self.ports, self.since, self.began = list(ports), since, since
-        self.told: list[tuple[int, Event, int]] = []  # number, event, when (Unix ms) it was held
-        self.wholes: list[int] = []  # sizes of the whole pages
-        self.faults: list[str] = []
-        self.sizes: list[int] = []  # events of each page
-        self.bytes = 0
-        self.refused = 0
-        self._over = False
+        self.ports, self.since, self.first_since = list(ports), since, since
+        self.received: list[tuple[int, Event, int]] = []  # sequence number, event, Unix ms of receipt
+        self.snapshot_sizes: list[int] = []  # events of each snapshot
+        self.errors: list[str] = []
+        self.page_sizes: list[int] = []  # events of each page
+        self.bytes_received = 0
+        self.unavailable_responses = 0
+        self._stopping = False
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
-    def holds(self, seq: int) -> bool:
+    def caught_up_to(self, seq: int) -> bool:
         return self.since == seq
 
-    def end(self) -> None:
-        """Poll no more; an open poll is broken off."""
-        self._over = True
+    def stop_polling(self) -> None:
+        """Stop polling and abort an open poll."""
+        self._stopping = True
         with contextlib.suppress(OSError, AttributeError):
-            self._line.sock.shutdown(socket.SHUT_RDWR)
+            self._connection.sock.shutdown(socket.SHUT_RDWR)
 
     def stop(self) -> None:
-        """End, and see that nothing was told twice, left out or half."""
-        self.end()
+        """Stop, and check that no event was duplicated, missing or incomplete."""
+        self.stop_polling()
         self._thread.join(DEADLINE)
-        assert not self.faults, self.faults
+        assert not self.errors, self.errors
 
     def _run(self) -> None:
-        place = 0
-        while not self._over:
+        index = 0
+        while not self._stopping:
             try:
-                line = self._line = Line(self.ports[place % len(self.ports)])
+                connection = self._connection = RelayConnection(self.ports[index % len(self.ports)])
             except OSError:
-                place += 1
+                index += 1
                 time.sleep(0.02)
                 continue
             try:
-                while not self._over:
-                    answer = line.ask(self.since, 500, Accept_Encoding="gzip")
-                    self.bytes += answer.size
+                while not self._stopping:
+                    answer = connection.poll(self.since, 500, Accept_Encoding="gzip")
+                    self.bytes_received += answer.size
                     if answer.status == 503:
-                        self.refused += 1
+                        self.unavailable_responses += 1
                         raise ConnectionError("not current")
-                    self._take(answer.events)
+                    self._receive(answer.events)
             except OSError:
-                place += 1
+                index += 1
                 time.sleep(0.02)
-            except Exception as error:  # noqa: BLE001 - a test asserts that a follower met no fault
-                self.faults.append(f"{type(error).__name__} {error}")
+            except Exception as error:  # noqa: BLE001 - stop() asserts that a follower met no error
+                self.errors.append(f"{type(error).__name__} {error}")
                 return
             finally:
-                line.close()
+                connection.close()
 
-    def _take(self, events: list[Event]) -> None:
+    def _receive(self, events: list[Event]) -> None:
         if not events:
             return
         numbers = [e["seq"] for e in events]
-        if is_whole(events):
-            self.wholes.append(len(events))
+        if is_snapshot(events):
+            self.snapshot_sizes.append(len(events))
         elif numbers != list(range(self.since + 1, self.since + 1 + len(numbers))):
-            raise AssertionError(f"holds {self.since}, told {numbers[0]} to {numbers[-1]} ({len(numbers)})")
-        self.sizes.append(len(events))
+            raise AssertionError(
+                f"events after {self.since}: received {numbers[0]} to {numbers[-1]} ({len(numbers)})"
+            )
+        self.page_sizes.append(len(events))
         at = now_ms()
-        self.told += [(e["seq"], e, at) for e in events]
+        self.received += [(e["seq"], e, at) for e in events]
         self.since = numbers[-1]
 
 
-class Gatewayed:
-    """Followers as a gateway has them (its poller), in one thread; what each is told is noted with its time.
+class GatewayPollers:
+    """A gateway's change-log pollers, in one thread; what each receives is recorded with its time.
 
-    Each follows relays in an order of its own, as ``--change-logs`` has it.
+    Each has its own order of relays, as with ``--change-logs``.
     """
 
     def __init__(self, count: int, ports: Sequence[int], since: int = 0, spread: float = 0.3) -> None:
         settings = settings_from_json(json.dumps(platform_settings()).encode())
         addresses = tuple(("127.0.0.1", port) for port in ports)
-        self.told: list[list[tuple[Any, int]]] = [[] for _ in range(count)]  # event, when (Unix ms)
+        self.received: list[list[tuple[Any, int]]] = [[] for _ in range(count)]  # event, when (Unix ms)
         self.pollers: list[Poller] = []
         for n in range(count):
             loop = EffectRunner(GatewayState(settings, Router(settings, 1)))
-            loop.dispatch = partial(self._note, n)  # type: ignore[method-assign]
-            choice = SourceSelection(f"g{n}", addresses, spread, Random(n))
-            self.pollers.append(Poller(loop, choice, since, has_alternatives=len(addresses) > 1))
+            loop.dispatch = partial(self._record, n)  # type: ignore[method-assign]
+            selection = SourceSelection(f"g{n}", addresses, spread, Random(n))
+            self.pollers.append(Poller(loop, selection, since, has_alternatives=len(addresses) > 1))
         self._ready = threading.Event()
         self._thread = threading.Thread(target=lambda: asyncio.run(self._run()), daemon=True)
         self._thread.start()
         self._ready.wait()
 
-    def holds(self, seq: int) -> bool:
+    def caught_up_to(self, seq: int) -> bool:
         return all(p.since == seq for p in self.pollers)
 
-    def objects(self, n: int) -> list[int]:
-        """What that one was told to be purged, in its order."""
-        return [e.object for e, _ in self.told[n] if isinstance(e, PurgeNotified) and e.object]
+    def purged_objects(self, n: int) -> list[int]:
+        """The objects whose purges that poller received, in order."""
+        return [e.object for e, _ in self.received[n] if isinstance(e, PurgeNotified) and e.object]
 
-    def wholes(self, n: int) -> int:
-        """How many whole pages it has taken."""
-        lists = [e for e, _ in self.told[n] if isinstance(e, EndpointListUpdated)]
-        groups = sum(isinstance(e, PurgeNotified) and not e.object for e, _ in self.told[n])
+    def snapshot_count(self, n: int) -> int:
+        """How many snapshots that poller received."""
+        lists = [e for e, _ in self.received[n] if isinstance(e, EndpointListUpdated)]
+        groups = sum(isinstance(e, PurgeNotified) and not e.object for e, _ in self.received[n])
         assert lists or not groups
         return groups // GROUPS
 
-    def slowest(self) -> int:
-        """The longest time (ms) from an object's purge to its being held by one of them."""
-        told = [(e, at) for one in self.told for e, at in one]
+    def max_latency_ms(self) -> int:
+        """The longest time (ms) from an object's purge to its receipt by a poller."""
+        received = [(e, at) for events in self.received for e, at in events]
         return max(
-            at - e.purged_at // 1_000_000 for e, at in told if isinstance(e, PurgeNotified) and e.object
+            at - e.purged_at // 1_000_000 for e, at in received if isinstance(e, PurgeNotified) and e.object
         )
 
     def stop(self) -> None:
-        self._loop.call_soon_threadsafe(self._over.set)
+        self._loop.call_soon_threadsafe(self._stopping.set)
         self._thread.join(DEADLINE)
 
-    def _note(self, n: int, event: Any) -> None:
+    def _record(self, n: int, event: Any) -> None:
         if isinstance(event, PurgeNotified | EndpointListUpdated):
-            self.told[n].append((event, now_ms()))
+            self.received[n].append((event, now_ms()))
 
     async def _run(self) -> None:
-        self._loop, self._over = asyncio.get_running_loop(), asyncio.Event()
+        self._loop, self._stopping = asyncio.get_running_loop(), asyncio.Event()
         tasks = [asyncio.ensure_future(p.run()) for p in self.pollers]
         self._ready.set()
-        await self._over.wait()
+        await self._stopping.wait()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -426,23 +429,27 @@
 
 @dataclass
 class Relay:
-    """A relay's process with its file. ``start`` again begins from nothing at the same address."""
+    """A relay process with its file. A further ``start`` runs a new process at the same address."""
 
     path: Path
     upstreams: list[str]
     name: str = "r1"
-    more: dict[str, Any] = field(default_factory=dict)
+    extra_settings: dict[str, Any] = field(default_factory=dict)
     port: int = 0
 
-    def write(self, **changed: Any) -> None:
-        """The file, with these words changed."""
-        said = {"name": self.name, "listen": f"127.0.0.1:{self._asked}", "upstream": self.upstreams}
-        text = "".join(f"{k} = {toml(v)}\n" for k, v in (said | self.more | changed).items())
+    def write_config(self, **changed: Any) -> None:
+        """Write the configuration file with these settings changed."""
+        settings = {
+            "name": self.name,
+            "listen": f"127.0.0.1:{self._configured_port}",
+            "upstream": self.upstreams,
+        }
+        text = "".join(f"{k} = {toml(v)}\n" for k, v in (settings | self.extra_settings | changed).items())
         (self.path / f"{self.name}.toml").write_text(text)
 
     def start(self) -> Relay:
-        self._asked = self.port  # a reload must find the same address to listen on
-        self.write()
+        self._configured_port = self.port  # a reload must find the same address to listen on
+        self.write_config()
         self.program = Program("relay", str(self.path / f"{self.name}.toml"))
         self.port = self.program.port
         return self
@@ -459,60 +466,60 @@
         self.program.process.send_signal(signal.SIGKILL)
         self.program.wait()
 
-    def hang_up(self) -> None:
+    def send_sighup(self) -> None:
         self.program.process.send_signal(signal.SIGHUP)
 
-    def line(self) -> Line:
-        return Line(self.port)
+    def connect(self) -> RelayConnection:
+        return RelayConnection(self.port)
 
-    def ask(self, since: object, timeout: object = 0, **fields: str) -> Answer:
-        return ask(self.port, since, timeout, **fields)
+    def poll(self, since: object, timeout: object = 0, **fields: str) -> RelayResponse:
+        return poll(self.port, since, timeout, **fields)
 
-    def current(self) -> bool:
-        return self.ask(0).status == 200
+    def is_current(self) -> bool:
+        return self.poll(0).status == 200
 
-    def holds(self, seq: int) -> bool:
-        """Current, with nothing behind that number."""
-        answer = self.ask(seq)
+    def caught_up_to(self, seq: int) -> bool:
+        """Whether the relay is current and has no event after ``seq``."""
+        answer = self.poll(seq)
         return answer.status == 200 and not answer.events
 
     def status(self) -> dict[str, Any]:
-        line = self.line()
-        line.sock.sendall(b"GET /status HTTP/1.1\r\nHost: relay\r\n\r\n")
-        said: dict[str, Any] = json.loads(line.answer().body)
-        line.close()
-        return said
-
-    def peak_mb(self) -> float:
-        """The most memory it has ever held."""
+        connection = self.connect()
+        connection.sock.sendall(b"GET /status HTTP/1.1\r\nHost: relay\r\n\r\n")
+        status: dict[str, Any] = json.loads(connection.read_response().body)
+        connection.close()
+        return status
+
+    def peak_memory_mb(self) -> float:
+        """The peak resident memory of the process."""
         found = re.search(r"VmHWM:\s+(\d+) kB", Path(f"/proc/{self.pid}/status").read_text())
         assert found
         return int(found[1]) / 1024
 
-    def cpu(self) -> float:
-        """Seconds of a core that it has taken so far."""
+    def cpu_seconds(self) -> float:
+        """The CPU time of the process so far, in seconds."""
         parts = Path(f"/proc/{self.pid}/stat").read_text().rsplit(")", 1)[1].split()
         return (int(parts[11]) + int(parts[12])) / os.sysconf("SC_CLK_TCK")
 
 
 class Tunnel:
-    """Another address of the same server: what comes is passed on, byte by byte."""
+    """A second address of a server: a TCP proxy that forwards bytes unchanged."""
 
     def __init__(self, port: int) -> None:
         self._port = port
-        self._listener = Listener(self._pass_on)
+        self._listener = Listener(self._forward)
         self.address = self._listener.address
 
-    def _pass_on(self, made: socket.socket) -> None:
+    def _forward(self, connection: socket.socket) -> None:
         with socket.create_connection(("127.0.0.1", self._port)) as other:
-            threading.Thread(target=_pump, args=(other, made), daemon=True).start()
-            _pump(made, other)
+            threading.Thread(target=_copy_bytes, args=(other, connection), daemon=True).start()
+            _copy_bytes(connection, other)
 
     def close(self) -> None:
         self._listener.close()
 
 
-def _pump(source: socket.socket, sink: socket.socket) -> None:
+def _copy_bytes(source: socket.socket, sink: socket.socket) -> None:
     with contextlib.suppress(OSError):
         while data := source.recv(65_536):
             sink.sendall(data)
@@ -520,38 +527,38 @@
         sink.shutdown(socket.SHUT_WR)
 
 
-def run(*args: str) -> subprocess.CompletedProcess[str]:
-    """The program with these arguments, to its end."""
+def run_program(*args: str) -> subprocess.CompletedProcess[str]:
+    """Run the program with these arguments until it exits."""
     env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
     command = [sys.executable, "-m", "hallproxy", *args]
     return subprocess.run(command, cwd=ROOT, env=env, capture_output=True, text=True, timeout=DEADLINE)
 
 
-class Stream:
-    """Purges told to a log at a steady rate from a thread of its own; each one's object is its number."""
+class PurgeStream:
+    """Adds purges to a log at a steady rate, in a thread of its own; each one's object is its number."""
 
-    def __init__(self, log: Log, a_second: int) -> None:
-        self.log, self.first, self._rate = log, log.last + 1, a_second
-        self._over = threading.Event()
+    def __init__(self, log: ScriptedLog, per_second: int) -> None:
+        self.log, self.first, self._rate = log, log.last + 1, per_second
+        self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
     def _run(self) -> None:
         began = time.monotonic()
-        while not self._over.wait(0.01):
+        while not self._stopping.wait(0.01):
             due = int((time.monotonic() - began) * self._rate) - (self.log.last + 1 - self.first)
-            self.log.add(*[purge(self.log.last + n) for n in range(1, due + 1)])
+            self.log.add(*[purge_event(self.log.last + n) for n in range(1, due + 1)])
 
-    def told(self, count: int) -> bool:
+    def has_sent(self, count: int) -> bool:
         return self.log.last + 1 - self.first >= count
 
     def stop(self) -> int:
-        """End it; the last number told."""
-        self._over.set()
+        """Stop, and return the sequence number of the last purge."""
+        self._stopping.set()
         self._thread.join(DEADLINE)
         return self.log.last
 
 
-def all_hold(followers: Sequence[Follower], seq: int) -> None:
-    """Wait until they do, or until one of them has met a fault."""
-    until(lambda: all(f.holds(seq) or f.faults for f in followers))
+def wait_until_caught_up(followers: Sequence[Follower], seq: int) -> None:
+    """Wait until each follower has received ``seq`` or met an error."""
+    until(lambda: all(f.caught_up_to(seq) or f.errors for f in followers))
--- a/tests/support/repository_front.py
+++ b/tests/support/repository_front.py
@@ -1,4 +1,4 @@
-"""The repository front under test, and the repositories that stand in for its upstreams, on loopback."""
+"""The repository front under test, and stand-ins for its upstream repositories, on loopback."""
 
 from __future__ import annotations
 
@@ -12,52 +12,64 @@
 from pathlib import Path
 
 from hallproxy.repository import simple
-from tests.support.gateway import ROOT, ChangeLog, Http, Program, Seen, now_ms, response, until
+from tests.support.gateway import (
+    ROOT,
+    ChangeLog,
+    HttpStandIn,
+    Program,
+    ReceivedRequest,
+    now_ms,
+    response,
+    until,
+)
 
 DEPLOY = (ROOT / "deploy" / "repository.toml").read_text()
 PROJECT = "charger-fw"
 
 
-def sha(data: bytes) -> str:
+def sha256_hex(data: bytes) -> str:
     return hashlib.sha256(data).hexdigest()
 
 
-class Stand:
-    """A repository whose files and index can be swapped at any moment."""
+class RepositoryStandIn:
+    """An upstream repository whose files and index a test can replace at any time."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {"a-1.whl": b"a" * 3000, "b-1.whl": b"b" * 5000}
-        self.indexed: dict[str, bytes] | None = None  # where the index says other than the files
-        self.hook: Callable[[Seen], bytes | None] | None = None
-        self.made: dict[str, int] = {}  # digest of a body -> ms at which it was last current
-        self.http = Http(self._reply)
+        self.indexed: dict[str, bytes] | None = None  # what the index lists, if other than ``files``
+        self.hook: Callable[[ReceivedRequest], bytes | None] | None = None
+        self.last_current_ms: dict[str, int] = {}  # digest of a body -> Unix ms when it was last current
+        self.http = HttpStandIn(self._reply)
         self.html = False
 
-    def _reply(self, seen: Seen) -> bytes | None:
-        if self.hook is not None and (said := self.hook(seen)) != b"pass":
-            return said
-        name = seen.path.rsplit("/", 1)[1]
-        if seen.path == f"/simple/{PROJECT}/":
+    def _reply(self, request: ReceivedRequest) -> bytes | None:
+        if self.hook is not None and (reply := self.hook(request)) != b"pass":
+            return reply
+        name = request.path.rsplit("/", 1)[1]
+        if request.path == f"/simple/{PROJECT}/":
             return self._index()
-        if seen.path == "/simple/":
+        if request.path == "/simple/":
             body = json.dumps({"meta": {"api-version": "1.0"}, "projects": [{"name": PROJECT}]}).encode()
             return response(200, body, Content_Type=simple.JSON)
-        if seen.path.startswith("/pool/") and name in self.files:
+        if request.path.startswith("/pool/") and name in self.files:
             return response(200, self.files[name])
         return response(404)
 
     def _index(self) -> bytes:
-        named = self.files if self.indexed is None else self.indexed
+        listed = self.files if self.indexed is None else self.indexed
         if self.html:
-            lines = [f'<a href="/pool/{n}#sha256={sha(b)}">{n}</a>' for n, b in named.items()]
+            lines = [f'<a href="/pool/{n}#sha256={sha256_hex(b)}">{n}</a>' for n, b in listed.items()]
             return response(200, "".join(lines).encode(), Content_Type="text/html")
-        files = [{"filename": n, "url": f"/pool/{n}", "hashes": {"sha256": sha(b)}} for n, b in named.items()]
+        files = [
+            {"filename": n, "url": f"/pool/{n}", "hashes": {"sha256": sha256_hex(b)}}
+            for n, b in listed.items()
+        ]
         top = {"meta": {"api-version": "1.0"}, "name": PROJECT, "files": files}
         return response(200, json.dumps(top).encode(), Content_Type=simple.JSON)
 
 
 @dataclass
-class Got:
+class FrontResponse:
     status: int
     fields: dict[str, str]
     body: bytes
@@ -66,7 +78,7 @@
 @dataclass
 class Front:
     path: Path
-    stands: list[Stand] = field(default_factory=lambda: [Stand()])
+    upstreams: list[RepositoryStandIn] = field(default_factory=lambda: [RepositoryStandIn()])
 
     def start(self, text: str = DEPLOY, contracts: bool = False) -> Front:
         self.log = ChangeLog()
@@ -75,42 +87,43 @@
         text = re.sub(r"# changelog = \S+", f'changelog = "{self.log.address}"', text)
         if contracts:
             text = re.sub(r"# contracts = \S+", 'contracts = "contracts.json"', text)
-        ups = "".join(
-            f'[[upstream]]\nid = "r-{n}"\naddress = "{s.http.address}"\n' for n, s in enumerate(self.stands)
+        tables = "".join(
+            f'[[upstream]]\nid = "r-{n}"\naddress = "{s.http.address}"\n'
+            for n, s in enumerate(self.upstreams)
         )
-        text = re.sub(r"\[\[upstream\]\]\nid.*\naddress.*\n", ups, text)
+        text = re.sub(r"\[\[upstream\]\]\nid.*\naddress.*\n", tables, text)
         (self.path / "repository.toml").write_text(text)
         self.program = Program("repository", str(self.path / "repository.toml"))
         return self
 
-    def get(self, path: str, method: str = "GET", **fields: str) -> Got:
-        made = http.client.HTTPConnection("127.0.0.1", self.program.port, timeout=10)
+    def get(self, path: str, method: str = "GET", **fields: str) -> FrontResponse:
+        connection = http.client.HTTPConnection("127.0.0.1", self.program.port, timeout=10)
         try:
-            made.request(method, path, headers={k.replace("_", "-"): v for k, v in fields.items()})
-            said = made.getresponse()
-            return Got(said.status, {k.lower(): v for k, v in said.getheaders()}, said.read())
+            connection.request(method, path, headers={k.replace("_", "-"): v for k, v in fields.items()})
+            answer = connection.getresponse()
+            return FrontResponse(answer.status, {k.lower(): v for k, v in answer.getheaders()}, answer.read())
         finally:
-            made.close()
+            connection.close()
 
-    def urls(self, **fields: str) -> dict[str, str]:
-        got = self.get(f"/simple/{PROJECT}/", Accept=simple.JSON, **fields)
-        assert got.status == 200, got
-        return {f["filename"]: f["url"] for f in json.loads(got.body)["files"]}
+    def file_urls(self, **fields: str) -> dict[str, str]:
+        index = self.get(f"/simple/{PROJECT}/", Accept=simple.JSON, **fields)
+        assert index.status == 200, index
+        return {f["filename"]: f["url"] for f in json.loads(index.body)["files"]}
 
     def purge(self, at: int | None = None) -> int:
         at = at or now_ms()
         obj = f"{simple.object_id(PROJECT):016x}"
         seq = self.log.add(invalidate={"object": obj, "time": at})
-        until(lambda: self.log.heard(seq))
+        until(lambda: self.log.acknowledged(seq))
         return at
 
 
-def auth(team: str, token: str) -> str:
+def basic_auth(team: str, token: str) -> str:
     return "Basic " + base64.b64encode(f"{team}:{token}".encode()).decode()
 
 
-def serving(made: Front) -> Iterator[Front]:
-    """A front for one test: after it, stopped if it was started, and its ending checked."""
-    yield made
-    if hasattr(made, "program"):
-        assert made.program.stop() == 0
+def stop_after_test(front: Front) -> Iterator[Front]:
+    """Yield a front to one test; afterwards stop it, if started, and check its exit code."""
+    yield front
+    if hasattr(front, "program"):
+        assert front.program.stop() == 0
--- a/tests/support/simulator_options.py
+++ b/tests/support/simulator_options.py
@@ -1,4 +1,4 @@
-"""The simulator's options text for one class of requests, as the wire words it."""
+"""The simulator's options for one class of requests, under their wire names."""
 
 from __future__ import annotations
 
