--- a/tests/support/tls.py
+++ b/tests/support/tls.py
@@ -1,4 +1,4 @@
-"""The repository front with a certificate of its own, and a client that speaks TLS to it."""
+"""The repository front with its own certificate, and an HTTPS client for it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def write_certificate(front: Front, authority: trustme.CA, names: tuple[str, ...] = ("127.0.0.1",)) -> None:
-    """The front's own certificate, from ``authority``, written where its deploy file names it."""
+    """The front's own certificate, from ``authority``, written to the paths that its configuration names."""
     issued = authority.issue_cert(*names)
     (front.path / "server.pem").write_bytes(b"".join(pem.bytes() for pem in issued.cert_chain_pems))
     issued.private_key_pem.write_to_path(str(front.path / "server.key"))
@@ -21,16 +21,16 @@
 def https_get(front: Front, authority: trustme.CA, path: str) -> tuple[int, bytes]:
     context = ssl.create_default_context()
     authority.configure_trust(context)
-    made = http.client.HTTPSConnection("127.0.0.1", front.program.port, timeout=10, context=context)
+    connection = http.client.HTTPSConnection("127.0.0.1", front.program.port, timeout=10, context=context)
     try:
-        made.request("GET", path, headers={"Accept": simple.JSON})
-        said = made.getresponse()
-        return said.status, said.read()
+        connection.request("GET", path, headers={"Accept": simple.JSON})
+        response = connection.getresponse()
+        return response.status, response.read()
     finally:
-        made.close()
+        connection.close()
 
 
 def start_with_certificate(front: Front, authority: trustme.CA) -> None:
     write_certificate(front, authority)
-    told = 'tls_certificate = "server.pem"\ntls_key = "server.key"\n\n[[upstream]]'
-    front.start(DEPLOY.replace("[[upstream]]", told, 1))
+    tables = 'tls_certificate = "server.pem"\ntls_key = "server.key"\n\n[[upstream]]'
+    front.start(DEPLOY.replace("[[upstream]]", tables, 1))
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.support.gateway import ROOT
-from tests.support.imports import circles, import_graph
+from tests.support.imports import cycles, import_graph
 
 T = TypeVar("T")
 
@@ -68,7 +68,7 @@
 
 
 def test_no_circle_between_modules() -> None:
-    assert_exactly(circles(import_graph(ROOT, "hallproxy")), KNOWN_CIRCLES)
+    assert_exactly(cycles(import_graph(ROOT, "hallproxy")), KNOWN_CIRCLES)
 
 
 def test_no_test_module_is_imported() -> None:
@@ -98,13 +98,13 @@
     (tmp_path / "top" / "high.py").write_text(statement)
     graph = import_graph(tmp_path, "top")
     assert graph == {"top": set(), "top.low": {"top.high"}, "top.high": {"top.low"}}
-    assert circles(graph) == {frozenset({"top.low", "top.high"})}
+    assert cycles(graph) == {frozenset({"top.low", "top.high"})}
 
 
 def test_a_chain_is_no_circle_and_two_circles_are_told_apart() -> None:
     chain = {"a": {"b"}, "b": {"c"}, "c": set[str]()}
-    assert circles(chain) == set()
-    assert circles(chain | {"c": {"b"}, "d": {"e"}, "e": {"d", "a"}}) == {
+    assert cycles(chain) == set()
+    assert cycles(chain | {"c": {"b"}, "d": {"e"}, "e": {"d", "a"}}) == {
         frozenset({"b", "c"}),
         frozenset({"d", "e"}),
     }
