--- a/tests/run/test_event_races.py
+++ b/tests/run/test_event_races.py
@@ -1,6 +1,6 @@
-"""Two events that cross, in the bad order each time, on real connections.
+"""Races between two events, forced into the unfavourable order, on real connections.
 
-The order is forced by stopping the process while both come, or by a store whose queue of connections is full.
+The order is forced by suspending the process until both have arrived, or by a store whose backlog is full.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from hallproxy.state.model import GatewayState
 from hallproxy.wire import frames
 from hallproxy.wire.simulator_settings import settings_from_json
-from hallproxy.wire.stores import PlatformProtocol as Speech
+from hallproxy.wire.stores import PlatformProtocol
 from tests.support.gateway import (
     ChangeLog,
     Client,
@@ -50,15 +50,15 @@
 SERVED, REFUSED, FAILED = frames.SERVED, frames.REJECTED, frames.FAILED
 
 
-def well(platform: Platform, row: int = 999) -> None:
-    """Whoever comes now is served: what came before has been read by then."""
+def assert_serving(platform: Platform, row: int = 999) -> None:
+    """A new client is served: whatever arrived before has been read by then."""
     client = platform.client()
     client.send_request(row=row)
     assert client.read_response()[0] == SERVED
 
 
-class Busy:
-    """A store by hand whose queue of connections is full, so that connects to it wait."""
+class FullBacklogStore:
+    """A manually driven store whose listen backlog can be filled, so that connects to it wait."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=0)
@@ -66,160 +66,160 @@
         self.port: int = self.sock.getsockname()[1]
         self.address = f"127.0.0.1:{self.port}"
         self._fillers: list[socket.socket] = []
-        self._ours: set[tuple[str, int]] = set()
-        self.made: list[socket.socket] = []
+        self._filler_peers: set[tuple[str, int]] = set()
+        self.accepted: list[socket.socket] = []
 
     def fill(self) -> int:
-        """Fill the queue; how many connects wait by now."""
+        """Fill the backlog; returns the number of connects in progress."""
         before = connects_in_progress(self.port)
         while connects_in_progress(self.port) == before:
-            one = socket.socket()
-            one.setblocking(False)
-            one.connect_ex(("127.0.0.1", self.port))
-            self._fillers.append(one)
+            filler = socket.socket()
+            filler.setblocking(False)
+            filler.connect_ex(("127.0.0.1", self.port))
+            self._fillers.append(filler)
             time.sleep(0.01)  # for the kernel's handshake on loopback
         return connects_in_progress(self.port)
 
-    def take(self) -> socket.socket:
-        """The next connection that is none of the fillers'."""
-        self._ours |= {f.getsockname() for f in self._fillers}
+    def accept(self) -> socket.socket:
+        """The next connection that is not a filler's."""
+        self._filler_peers |= {f.getsockname() for f in self._fillers}
         while self._fillers:
-            self._fillers.pop().close()  # those that wait would come again when the gateway's does
+            self._fillers.pop().close()  # pending ones would retry their SYN at the same time as the gateway
         while True:
-            made, peer = self.sock.accept()
-            made.settimeout(5)
-            self.made.append(made)
-            if peer not in self._ours:
-                return made
+            connection, peer = self.sock.accept()
+            connection.settimeout(5)
+            self.accepted.append(connection)
+            if peer not in self._filler_peers:
+                return connection
 
-    def heads(self) -> list[str]:
-        """The requests that came on what was taken, once there is one."""
+    def request_heads(self) -> list[str]:
+        """The requests received on the accepted connections, once there is one."""
 
-        def spoken() -> list[socket.socket]:
-            there = select.select(self.made, [], [], 0)[0]
-            return [one for one in there if one.recv(1, socket.MSG_PEEK)]
+        def with_data() -> list[socket.socket]:
+            readable = select.select(self.accepted, [], [], 0)[0]
+            return [connection for connection in readable if connection.recv(1, socket.MSG_PEEK)]
 
-        return [one.recv(4096).decode() for one in until(spoken)]
+        return [connection.recv(4096).decode() for connection in until(with_data)]
 
     def close(self) -> None:
-        for one in [*self._fillers, *self.made, self.sock]:
-            one.close()
+        for sock in [*self._fillers, *self.accepted, self.sock]:
+            sock.close()
 
 
-def asked(made: socket.socket) -> str:
-    """The path that is asked for on a store's connection."""
-    got = b""
-    while b"\r\n\r\n" not in got:
-        more = made.recv(4096)
-        assert more, "the connection ended before a request"
-        got += more
-    return got.split()[1].decode()
+def read_path(connection: socket.socket) -> str:
+    """The path requested on a store's connection."""
+    received = b""
+    while b"\r\n\r\n" not in received:
+        chunk = connection.recv(4096)
+        assert chunk, "the connection was closed before a complete request"
+        received += chunk
+    return received.split()[1].decode()
 
 
 @pytest.fixture
-def busy() -> Iterator[Busy]:
-    made = Busy()
-    yield made
-    made.close()
+def busy_store() -> Iterator[FullBacklogStore]:
+    store = FullBacklogStore()
+    yield store
+    store.close()
 
 
-def patient(settings: dict[str, Any]) -> None:
+def extend_connect_timeout(settings: dict[str, Any]) -> None:
     settings["bounds"]["dial_timeout_ns"] = 5 * 10**9
 
 
-# Clients that go ----------------------------------------------------------------------------------------
+# Clients that disconnect ---------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("how", ["close", "half-close", "reset", "cancel"])
-def test_a_request_whose_client_has_gone_by_the_time_it_is_read_is_not_begun(
-    start_platform: Callable[..., Platform], how: str
+@pytest.mark.parametrize("ending", ["close", "half-close", "reset", "cancel"])
+def test_a_request_whose_client_has_disconnected_before_it_is_read_is_not_sent(
+    start_platform: Callable[..., Platform], ending: str
 ) -> None:
     platform = start_platform()
     client = platform.client()
     for row in range(100, 110):
         client.send_request(row=row)
-        client.read_response()  # connections to the stores are open: what is begun is sent at once
+        client.read_response()  # connections to the stores are open now: requests are sent at once
     with suspended(platform.program):
         streams = [client.send_request(row=7, nth=n, body=b"x" * 2500) for n in range(8)]
-        if how == "close":
+        if ending == "close":
             client.sock.close()
-        elif how == "half-close":
+        elif ending == "half-close":
             client.sock.shutdown(socket.SHUT_WR)
-        elif how == "reset":
+        elif ending == "reset":
             reset(client.sock)
         else:
             for stream in streams:
                 client.send_frame(frames.CANCEL, stream)
-    well(platform)
-    well(platform, 998)
+    assert_serving(platform)
+    assert_serving(platform, 998)
     assert upstream_requests(platform, 7) == 0
 
 
-def test_a_cancel_behind_many_frames_takes_back_what_has_not_begun(
+def test_a_cancel_behind_many_frames_cancels_requests_that_have_not_begun(
     start_platform: Callable[..., Platform],
 ) -> None:
-    """Frames of another client's stand ahead of it in the same turn."""
+    """Frames of other clients precede it in the same loop iteration."""
     platform = start_platform()
-    crowd = [platform.client() for _ in range(8)]
+    others = [platform.client() for _ in range(8)]
     client = platform.client()
-    for one in [*crowd, client]:
-        one.send_frame(frames.READINESS_REQUEST, 0)
-        one.read_frame()
+    for each in [*others, client]:
+        each.send_frame(frames.READINESS_REQUEST, 0)
+        each.read_frame()
     with suspended(platform.program):
-        for one in crowd:
+        for other in others:
             for row in range(100, 130):
-                one.send_request(row=row)
+                other.send_request(row=row)
         streams = [client.send_request(row=7, nth=n) for n in range(30)]
         for stream in streams:
             client.send_frame(frames.CANCEL, stream)
-    assert all(one.read_response()[0] in (SERVED, REFUSED) for one in crowd for _ in range(30))
-    well(platform)
+    assert all(other.read_response()[0] in (SERVED, REFUSED) for other in others for _ in range(30))
+    assert_serving(platform)
     assert upstream_requests(platform, 7) == 0
 
 
-def test_who_leaves_while_his_connect_is_under_way_is_not_sent_on(
-    start_platform: Callable[..., Platform], busy: Busy
+def test_a_request_cancelled_during_its_connect_is_not_sent(
+    start_platform: Callable[..., Platform], busy_store: FullBacklogStore
 ) -> None:
-    """Also where the settings let nothing be cancelled: what has not begun need not be."""
+    """Also where the settings forbid cancelling: a request that has not been sent needs no cancel."""
 
-    def lasting(settings: dict[str, Any]) -> None:
-        patient(settings)
+    def without_cancelling(settings: dict[str, Any]) -> None:
+        extend_connect_timeout(settings)
         settings["bounds"]["cancelling"] = False
 
-    platform = start_platform(change_settings=lasting, caches=[HttpStandIn(ok())])
-    line = instance_record("s-0", busy.address, "std", startedAtMs=1)
-    platform.publish(fleet={"generation": 2, "reset": False, "instances": [line]})
-    waiting = busy.fill()
+    platform = start_platform(change_settings=without_cancelling, caches=[HttpStandIn(ok())])
+    record = instance_record("s-0", busy_store.address, "std", startedAtMs=1)
+    platform.publish(fleet={"generation": 2, "reset": False, "instances": [record]})
+    waiting = busy_store.fill()
     client = platform.client()
     stream = client.send_request(row=7, ttl="4000")
-    until(lambda: connects_in_progress(busy.port) > waiting)
+    until(lambda: connects_in_progress(busy_store.port) > waiting)
     client.send_frame(frames.CANCEL, stream)
     client.send_frame(frames.READINESS_REQUEST, 0)
     assert client.read_frame() is not None  # the cancel has been read
-    busy.take()
+    busy_store.accept()
     client.send_request(row=8, ttl="4000")
-    busy.sock.settimeout(0.05)
+    busy_store.sock.settimeout(0.05)
     with contextlib.suppress(TimeoutError):
-        busy.take()  # where the other was not up yet
-    assert [head.split()[1] for head in busy.heads()] == [f"/v2/q/segment/{8:016x}/0"]
+        busy_store.accept()  # if the other connection was not up yet
+    assert [head.split()[1] for head in busy_store.request_heads()] == [f"/v2/q/segment/{8:016x}/0"]
 
 
-# Attempts and answers -----------------------------------------------------------------------------------
+# Attempts and responses ---------------------------------------------------------------------------------
 
 
 @pytest.mark.timing("a hedge would begin after some multiples of 0.15 s")
-def test_a_second_attempt_does_not_begin_when_the_first_s_answer_lies_there(
+def test_a_hedge_does_not_begin_when_the_first_response_is_already_buffered(
     start_platform: Callable[..., Platform],
 ) -> None:
-    gate, held = threading.Event(), threading.Event()
+    gate, waiting = threading.Event(), threading.Event()
 
-    def reply(seen: Any) -> bytes | None:
-        if f"{7:016x}" in seen.path:
-            held.set()
+    def reply(request: Any) -> bytes | None:
+        if f"{7:016x}" in request.path:
+            waiting.set()
             gate.wait(10)
-        elif f"{200:016x}" not in seen.path:
-            time.sleep(0.15)  # so long answers usually take
-        return ok()(seen)
+        elif f"{200:016x}" not in request.path:
+            time.sleep(0.15)  # the usual response time
+        return ok()(request)
 
     platform = start_platform(caches=[HttpStandIn(reply)])
     client = platform.client()
@@ -228,198 +228,208 @@
             client.send_request(row=row, nth=n)
         assert all(client.read_response()[0] == SERVED for _ in range(15))
     stream = client.send_request(row=7, ttl="5000")
-    assert held.wait(5)
-    client.send_request(row=200)  # its cache answers others meanwhile
+    assert waiting.wait(5)
+    client.send_request(row=200)  # the same cache answers other requests meanwhile
     assert client.read_response()[0] == SERVED
     with suspended(platform.program):
         began = time.monotonic()
         gate.set()
-        until(lambda: time.monotonic() - began > 1.5)  # the answer lies there, and patience is over
+        # The response is in the socket buffer by now, and the hedge delay has passed.
+        until(lambda: time.monotonic() - began > 1.5)
     frame = client.read_frame()
     assert frame is not None and frame[1] == stream and frame[2][0] == SERVED
-    well(platform)
+    assert_serving(platform)
     assert upstream_requests(platform, 7) == 1
 
 
 @pytest.mark.timing("the retry is decided within a window of 0.5 s")
-def test_a_repeat_under_a_key_is_not_sent_after_its_window(
-    start_platform: Callable[..., Platform], busy: Busy
+def test_a_retry_with_an_idempotency_key_is_not_sent_after_its_window(
+    start_platform: Callable[..., Platform], busy_store: FullBacklogStore
 ) -> None:
-    """The module repeats it in time; then the connect lasts until the window is over.
+    """The router retries it in time, but the connect takes until the window has expired.
 
-    The connection that it goes out on, and the full queue, are there before the window begins.
+    The connection of the first attempt and the full backlog exist before the window begins.
     """
 
-    def short(settings: dict[str, Any]) -> None:
-        patient(settings)
+    def short_window(settings: dict[str, Any]) -> None:
+        extend_connect_timeout(settings)
         settings["classes"][2]["key_ttl_ns"] = 500_000_000
 
-    platform = start_platform(change_settings=short, caches=[HttpStandIn(ok())])
-    line = instance_record("s-0", busy.address, "std", startedAtMs=1)
-    platform.publish(fleet={"generation": 2, "reset": False, "instances": [line]})
+    platform = start_platform(change_settings=short_window, caches=[HttpStandIn(ok())])
+    record = instance_record("s-0", busy_store.address, "std", startedAtMs=1)
+    platform.publish(fleet={"generation": 2, "reset": False, "instances": [record]})
     client = platform.client()
     client.send_request(row=6)
-    first = busy.take()
-    assert f"{6:016x}" in asked(first)
+    first = busy_store.accept()
+    assert f"{6:016x}" in read_path(first)
     first.sendall(response(200, b"bytes", ETag="t", X_Born_Ms=str(now_ms())))
     assert client.read_response()[0] == SERVED
-    waiting = busy.fill()
+    waiting = busy_store.fill()
     client.send_request(op="close", row=7, dedupe="a" * 32)
-    assert f"{7:016x}" in asked(first)
+    assert f"{7:016x}" in read_path(first)
     sent = time.monotonic()
-    reset(first)  # it may have run
-    until(lambda: connects_in_progress(busy.port) > waiting)
+    reset(first)  # the request may have run
+    until(lambda: connects_in_progress(busy_store.port) > waiting)
     until(lambda: time.monotonic() - sent > 0.6)
-    second = busy.take()
+    second = busy_store.accept()
     code, _, _ = client.read_response()
     assert code in (REFUSED, FAILED)
     second.setblocking(False)
     with contextlib.suppress(BlockingIOError):
-        assert second.recv(4096) == b""  # closed, or resting: nothing was asked on it
+        assert second.recv(4096) == b""  # closed or idle: no request was sent on it
 
 
-# Connections and the list -------------------------------------------------------------------------------
+# Connections and endpoints ------------------------------------------------------------------------------
 
 
-def test_a_connect_under_way_to_a_former_process_carries_nothing(
-    start_platform: Callable[..., Platform], busy: Busy
+def test_a_connect_in_progress_to_a_replaced_process_carries_no_request(
+    start_platform: Callable[..., Platform], busy_store: FullBacklogStore
 ) -> None:
-    """Its address may be another store's by the time that the connection is up."""
+    """Its address may belong to another store by the time the connection is established."""
     fresh = HttpStandIn(ok(b"new"))
-    platform = start_platform(change_settings=patient, caches=[HttpStandIn(ok())])
-    line = instance_record("s-0", busy.address, "std", startedAtMs=1)
-    platform.publish(fleet={"generation": 2, "reset": False, "instances": [line]})
-    waiting = busy.fill()
+    platform = start_platform(change_settings=extend_connect_timeout, caches=[HttpStandIn(ok())])
+    record = instance_record("s-0", busy_store.address, "std", startedAtMs=1)
+    platform.publish(fleet={"generation": 2, "reset": False, "instances": [record]})
+    waiting = busy_store.fill()
     client = platform.client()
     client.send_request(row=7, ttl="4000")
-    until(lambda: connects_in_progress(busy.port) > waiting)
-    line = instance_record("s-0", fresh.address, "std", startedAtMs=now_ms() - 60_000)
-    platform.publish(fleet={"generation": 3, "reset": False, "instances": [line]})
-    made = busy.take()
+    until(lambda: connects_in_progress(busy_store.port) > waiting)
+    record = instance_record("s-0", fresh.address, "std", startedAtMs=now_ms() - 60_000)
+    platform.publish(fleet={"generation": 3, "reset": False, "instances": [record]})
+    accepted = busy_store.accept()
     assert client.read_response()[2] == b"new"
-    assert made.recv(4096) == b""
+    assert accepted.recv(4096) == b""
 
 
-def test_work_that_waits_when_its_fill_source_starts_is_decided_anew(
-    start_platform: Callable[..., Platform], busy: Busy
+def test_a_waiting_request_is_routed_again_when_its_fill_source_restarts(
+    start_platform: Callable[..., Platform], busy_store: FullBacklogStore
 ) -> None:
-    """A parent that has just started bears little from all gateways: what waits counts, too."""
+    """A freshly started parent takes little load from all gateways; waiting requests count towards it."""
 
-    def frail(settings: dict[str, Any]) -> None:
-        patient(settings)
-        settings["specifics"]["parent_breaks_at"] = 1e-6  # a cold parent bears nothing at all
+    def fragile_parent(settings: dict[str, Any]) -> None:
+        extend_connect_timeout(settings)
+        settings["specifics"]["parent_breaks_at"] = 1e-6  # a cold parent takes no load at all
 
-    platform = start_platform(change_settings=frail, caches=[HttpStandIn(ok())])
-    lines = [instance_record("s-0", busy.address, "std"), instance_record("p-0", "127.0.0.1:1", "parent")]
+    platform = start_platform(change_settings=fragile_parent, caches=[HttpStandIn(ok())])
+    lines = [
+        instance_record("s-0", busy_store.address, "std"),
+        instance_record("p-0", "127.0.0.1:1", "parent"),
+    ]
     platform.publish(fleet={"generation": 2, "reset": False, "instances": lines})
-    waiting = busy.fill()
+    waiting = busy_store.fill()
     client = platform.client()
     client.send_request(row=7, ttl="4000")
-    until(lambda: connects_in_progress(busy.port) > waiting)
-    line = instance_record("p-0", "127.0.0.1:1", "parent", startedAtMs=now_ms())
-    platform.publish(fleet={"generation": 3, "reset": False, "instances": [line]})
-    busy.take()
-    assert "X-Fill-From: o-0" in busy.heads()[0]
+    until(lambda: connects_in_progress(busy_store.port) > waiting)
+    record = instance_record("p-0", "127.0.0.1:1", "parent", startedAtMs=now_ms())
+    platform.publish(fleet={"generation": 3, "reset": False, "instances": [record]})
+    busy_store.accept()
+    assert "X-Fill-From: o-0" in busy_store.request_heads()[0]
 
 
-def test_a_connection_at_work_when_its_store_moves_is_not_used_again(
+def test_a_connection_in_use_when_its_store_moves_is_not_reused(
     start_platform: Callable[..., Platform],
 ) -> None:
     gate = threading.Event()
-    old, fresh = HttpStandIn(lambda s: ok(b"old")(s) if gate.wait(5) else None), HttpStandIn(ok(b"new"))
+    old, fresh = (
+        HttpStandIn(lambda request: ok(b"old")(request) if gate.wait(5) else None),
+        HttpStandIn(ok(b"new")),
+    )
     platform = start_platform(caches=[old])
     client = platform.client()
     client.send_request()
     until(lambda: old.requests)
-    line = instance_record("s-0", fresh.address, "std", startedAtMs=now_ms() - 60_000)
-    platform.publish(fleet={"generation": 2, "reset": False, "instances": [line]})
+    record = instance_record("s-0", fresh.address, "std", startedAtMs=now_ms() - 60_000)
+    platform.publish(fleet={"generation": 2, "reset": False, "instances": [record]})
     gate.set()
     assert client.read_response()[2] == b"old"
     client.send_request(row=2)
     assert client.read_response()[2] == b"new" and len(old.requests) == 1
 
 
-def test_a_page_of_the_old_log_that_is_read_as_the_log_moves_is_dropped() -> None:
-    """The bytes have been read and the poll has not gone on yet: its turn comes behind the move."""
+def test_a_page_of_the_old_log_read_while_the_address_changes_is_dropped() -> None:
+    """The bytes have been read, but the address changes before the poll resumes."""
     old, new = ChangeLog(), ChangeLog()
     for log in (old, new):
         log.add(invalidate={"object": f"{1:016x}", "time": 1})
     settings = settings_from_json(json.dumps(platform_settings()).encode())
 
-    async def play() -> None:
-        running = asyncio.get_running_loop()
-        loop = EffectRunner(GatewayState(settings, Router(settings, 1)))
-        poller = Poller(loop, address(old.address), 1)
+    async def scenario() -> None:
+        loop = asyncio.get_running_loop()
+        runner = EffectRunner(GatewayState(settings, Router(settings, 1)))
+        poller = Poller(runner, address(old.address), 1)
         task = asyncio.ensure_future(poller.run())
-        await eventually(lambda: len(old.polls) >= 2)  # the first asks without waiting; the second waits
-        made = poller._stream
-        assert made is not None
-        running.call_later(0.01, poller.reconfigure, address(new.address), {"results": []})
+        await eventually(lambda: len(old.polls) >= 2)  # the first poll does not wait; the second does
+        stream = poller._stream
+        assert stream is not None
+        loop.call_later(0.01, poller.reconfigure, address(new.address), {"results": []})
         due = time.monotonic() + 0.02
         old.add(invalidate={"object": f"{2:016x}", "time": now_ms()})
-        until(lambda: made.is_stale() and time.monotonic() > due)  # no turn of the loop until both are there
+        # Blocks the loop until both are ready.
+        until(lambda: stream.is_stale() and time.monotonic() > due)
         await eventually(lambda: new.polls)
-        assert new.polls[0] == 1  # it holds nothing of the old one's page
+        assert new.polls[0] == 1  # nothing of the old log's page was applied
         task.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_connection_that_breaks_as_it_is_written_to_has_carried_nothing() -> None:
-    """The reset comes after it was looked at: told as unused, so what runs once may go elsewhere, too."""
+def test_a_connection_reset_while_a_request_is_written_counts_as_unused() -> None:
+    """The reset follows the staleness check; reported as unused, so at-most-once requests may be retried."""
     server = socket.create_server(("127.0.0.1", 0))
     settings = settings_from_json(json.dumps(platform_settings()).encode())
 
-    async def play() -> None:
-        loop = EffectRunner(GatewayState(settings, Router(settings, 1)))
-        told: list[Any] = []
-        loop.dispatch = told.append  # type: ignore[method-assign,assignment]
-        loop.connections = stores = UpstreamConnections(loop, Speech(settings))
-        stores.open(1, "127.0.0.1:%d" % server.getsockname()[1])
-        await eventually(lambda: told)
-        made, _ = server.accept()
-        assert told == [ConnectionOpened(told[0].at, 1)]
-        link = stores._connections[1].stream
-        reset(made)
-        gone = select.poll()
-        gone.register(link.fileno(), select.POLLERR)
-        until(lambda: gone.poll(0))
-        link.is_stale = lambda: False  # type: ignore[method-assign]
-        stores.send(1, SendRequest(1, UpstreamRequest("1" * 16, 3, "1" * 16, 0, 10**9)))
-        assert told[1:] == [ConnectionClosed(told[1].at, 1, unused=True)]
+    async def scenario() -> None:
+        runner = EffectRunner(GatewayState(settings, Router(settings, 1)))
+        events: list[Any] = []
+        runner.dispatch = events.append  # type: ignore[method-assign,assignment]
+        runner.connections = upstreams = UpstreamConnections(runner, PlatformProtocol(settings))
+        upstreams.open(1, "127.0.0.1:%d" % server.getsockname()[1])
+        await eventually(lambda: events)
+        accepted, _ = server.accept()
+        assert events == [ConnectionOpened(events[0].at, 1)]
+        stream = upstreams._connections[1].stream
+        reset(accepted)
+        poll = select.poll()
+        poll.register(stream.fileno(), select.POLLERR)
+        until(lambda: poll.poll(0))
+        stream.is_stale = lambda: False  # type: ignore[method-assign]
+        upstreams.send(1, SendRequest(1, UpstreamRequest("1" * 16, 3, "1" * 16, 0, 10**9)))
+        assert events[1:] == [ConnectionClosed(events[1].at, 1, unused=True)]
         await asyncio.sleep(0)
-        assert len(told) == 2
+        assert len(events) == 2
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     server.close()
 
 
-# Closes and the end -------------------------------------------------------------------------------------
+# Closing and shutdown -----------------------------------------------------------------------------------
 
 
-def tail(sock: socket.socket) -> bytes:
-    """All that still comes until the other side ends; a reset is an error."""
-    got = b""
-    while more := sock.recv(65_536):
-        got += more
-    return got
+def read_to_end(sock: socket.socket) -> bytes:
+    """All bytes until the peer closes; a reset is an error."""
+    received = b""
+    while chunk := sock.recv(65_536):
+        received += chunk
+    return received
 
 
-def test_an_error_is_not_lost_to_unread_bytes_behind_it(start_platform: Callable[..., Platform]) -> None:
+def test_an_error_frame_is_not_lost_to_unread_bytes_behind_the_invalid_frame(
+    start_platform: Callable[..., Platform],
+) -> None:
     platform = start_platform()
     client = platform.client()
     with suspended(platform.program):
         client.sock.sendall(b"\xff" * 100_000)
-    got = tail(client.sock)
-    assert got[4] == frames.RESPONSE and b"error" in got
+    received = read_to_end(client.sock)
+    assert received[4] == frames.RESPONSE and b"error" in received
 
 
-def test_what_was_taken_ahead_of_an_error_is_answered_before_the_close(
+def test_a_request_accepted_before_an_invalid_frame_is_answered_before_the_close(
     start_platform: Callable[..., Platform],
 ) -> None:
     gate = threading.Event()
     platform = start_platform()
-    platform.set_reply(lambda s: ok()(s) if gate.wait(5) else None)
+    platform.set_reply(lambda request: ok()(request) if gate.wait(5) else None)
     client = platform.client()
     stream = client.send_request()
     until(lambda: platform.requests)
@@ -429,10 +439,10 @@
     gate.set()
     frame = client.read_frame()
     assert frame is not None and frame[1] == stream and frame[2][0] == SERVED
-    assert tail(client.sock) == b""
+    assert read_to_end(client.sock) == b""
 
 
-def test_a_resting_connection_ends_in_order_and_a_request_behind_that_is_not_reset(
+def test_an_idle_connection_closes_cleanly_and_a_later_request_is_not_reset(
     start_platform: Callable[..., Platform],
 ) -> None:
     platform = start_platform()
@@ -442,22 +452,22 @@
     platform.program.process.send_signal(signal.SIGTERM)
     frame = client.read_frame()
     assert frame is not None and frame[0] == frames.GO_AWAY
-    assert tail(client.sock) == b""  # it rests until the gateway ends it
-    asked_before = len(platform.requests)
+    assert read_to_end(client.sock) == b""  # idle until the gateway closes it
+    requests_before = len(platform.requests)
     client.send_request(row=2)
     client.send_frame(frames.CANCEL, 2)
     assert client.sock.recv(1) == b""
     client.sock.close()
     assert platform.program.wait() == 0
-    assert len(platform.requests) == asked_before
+    assert len(platform.requests) == requests_before
 
 
-def test_at_the_end_what_comes_late_is_refused_and_not_sent_on(
+def test_a_request_late_in_the_drain_is_refused_and_not_sent(
     start_platform: Callable[..., Platform],
 ) -> None:
     gate = threading.Event()
     platform = start_platform()
-    platform.set_reply(lambda s: ok()(s) if gate.wait(10) else None)
+    platform.set_reply(lambda request: ok()(request) if gate.wait(10) else None)
     client, other = platform.client(), platform.client()
     other.send_frame(frames.READINESS_REQUEST, 0)
     frame = other.read_frame()
@@ -479,14 +489,14 @@
 
 
 @pytest.mark.timing("the process ends within 3.7 s")
-def test_what_waits_longer_than_the_process_may_is_answered_before_its_kill(
+def test_requests_that_outlast_the_drain_are_answered_before_sigkill(
     start_platform: Callable[..., Platform],
 ) -> None:
-    def short(settings: dict[str, Any]) -> None:
+    def short_deadlines(settings: dict[str, Any]) -> None:
         for cls in settings["classes"]:
             cls["deadline_ns"] = 3 * 10**9
 
-    platform = start_platform(change_settings=short)
+    platform = start_platform(change_settings=short_deadlines)
     platform.set_reply(lambda _: None)
     early, late = platform.client(), platform.client()
     early.send_request(ttl="12000")
@@ -504,59 +514,59 @@
 
 @pytest.mark.timing("the process ends within 1.7 or 3.7 s")
 @pytest.mark.parametrize(("deadline_s", "killed_after"), [(1, 1.7), (6, 3.7)])
-def test_the_process_ends_ahead_of_its_kill_while_a_client_goes_on_requesting(
+def test_the_process_ends_before_sigkill_while_a_client_goes_on_requesting(
     start_platform: Callable[..., Platform], deadline_s: int, killed_after: float
 ) -> None:
-    """Guards against requests unanswered at the kill: a deadline over 3 s counts as 3 s."""
+    """Guards against requests unanswered at SIGKILL: a deadline over 3 s counts as 3 s."""
 
     def set_deadlines(settings: dict[str, Any]) -> None:
         for cls in settings["classes"]:
             cls["deadline_ns"] = deadline_s * 10**9
 
     platform = start_platform(change_settings=set_deadlines)
-    platform.set_reply(lambda seen: None if f"{1:016x}" in seen.path else ok()(seen))
-    hung, going_on = platform.client(), platform.client()
+    platform.set_reply(lambda request: None if f"{1:016x}" in request.path else ok()(request))
+    hung, active = platform.client(), platform.client()
     hung.send_request(row=1, ttl=str(deadline_s * 1000))
     until(lambda: platform.requests)
     began = time.monotonic()
     platform.program.process.send_signal(signal.SIGTERM)
-    asked = 0
+    sent = 0
     with contextlib.suppress(OSError):
         while time.monotonic() - began < killed_after:
-            going_on.send_request(row=2)
-            asked += 1
-            if (frame := going_on.read_frame()) is None:
-                break  # it crossed the end of the connection
+            active.send_request(row=2)
+            sent += 1
+            if (frame := active.read_frame()) is None:
+                break  # the connection was closed as the request was sent
             while frame is not None and frame[0] == frames.GO_AWAY:
-                frame = going_on.read_frame()
+                frame = active.read_frame()
             assert frame is not None and frame[2][0] in (SERVED, REFUSED)
             time.sleep(0.02)
     assert platform.program.wait() == 0 and time.monotonic() - began < killed_after
-    assert asked > 20
+    assert sent > 20
     while (frame := hung.read_frame()) is not None and frame[0] == frames.GO_AWAY:
         pass
     assert frame is not None and frame[2][0] in (REFUSED, FAILED)
 
 
 @pytest.mark.timing("the drain ends within 3.5 s")
-def test_what_a_client_never_reads_does_not_keep_the_process_until_its_kill(
+def test_a_response_that_a_client_never_reads_does_not_delay_the_drain(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The last bytes of an answer are not taken, as if for good; the end comes in its time all the same."""
+    """The last bytes of a response are never read; the drain still ends on time."""
     settings = settings_from_json(json.dumps(platform_settings()).encode())
     settings = replace(settings, classes=tuple(replace(c, deadline=3 * 10**9) for c in settings.classes))
     monkeypatch.setattr(DownstreamConnections, "has_unfinished", property(lambda _: True))
 
-    async def play() -> float:
-        loop = EffectRunner(GatewayState(settings, Router(settings, 1)))
+    async def scenario() -> float:
+        runner = EffectRunner(GatewayState(settings, Router(settings, 1)))
         began = time.monotonic()
-        await drain(DownstreamConnections(loop), loop, lambda: None)
+        await drain(DownstreamConnections(runner), runner, lambda: None)
         return time.monotonic() - began
 
-    assert asyncio.run(asyncio.wait_for(play(), 8)) < 3.5
+    assert asyncio.run(asyncio.wait_for(scenario(), 8)) < 3.5
 
 
-def test_who_waits_in_the_backlog_when_the_listener_closes_is_answered(
+def test_clients_in_the_backlog_when_the_listener_closes_are_answered(
     start_platform: Callable[..., Platform],
 ) -> None:
     platform = start_platform()
@@ -567,7 +577,7 @@
         late = [Client(platform.program.port) for _ in range(20)]
         for client in late:
             client.send_request(row=5)
-        until(lambda: time.monotonic() - began > 1.2)  # the listener is closed as soon as it goes on
+        until(lambda: time.monotonic() - began > 1.2)  # the listener is closed as soon as the process resumes
     for client in late:
         while (frame := client.read_frame()) is not None and frame[0] == frames.GO_AWAY:
             pass
@@ -575,9 +585,9 @@
     assert platform.program.wait() == 0
 
 
-def test_half_a_line_from_a_store_is_no_answer(start_platform: Callable[..., Platform]) -> None:
-    whole = response(200, b"bytes", ETag="t", X_Born_Ms=str(now_ms()))
-    first, second = HttpStandIn(lambda _: whole[:9]), HttpStandIn(ok(b"whole"))
+def test_half_a_status_line_from_a_store_is_not_a_response(start_platform: Callable[..., Platform]) -> None:
+    complete = response(200, b"bytes", ETag="t", X_Born_Ms=str(now_ms()))
+    first, second = HttpStandIn(lambda _: complete[:9]), HttpStandIn(ok(b"whole"))
     platform = start_platform(caches=[first, second])
     client = platform.client()
     for row in range(1, 9):
