--- a/tests/run/test_platform.py
+++ b/tests/run/test_platform.py
@@ -1,4 +1,4 @@
-"""The program on real sockets: one short test for each rule of the platform's front."""
+"""The program on real sockets: one short test for each rule of the platform's client interface."""
 
 from __future__ import annotations
 
@@ -33,24 +33,28 @@
 from tests.support.processes import connects_in_progress, upstream_requests
 
 SERVED, REFUSED, FAILED = frames.SERVED, frames.REJECTED, frames.FAILED
-HALF = response(200, b"x" * 1000, ETag="t", X_Born_Ms="1")[:-500]
+TRUNCATED = response(200, b"x" * 1000, ETag="t", X_Born_Ms="1")[:-500]
 
 
-def test_a_request_is_passed_on_and_answered_whole(start_platform: Callable[..., Platform]) -> None:
+def test_a_request_is_forwarded_and_its_complete_response_returned(
+    start_platform: Callable[..., Platform],
+) -> None:
     platform = start_platform()
     client = platform.client()
     client.send_frame(frames.READINESS_REQUEST, 0, b"\0")
     assert client.read_frame() == (frames.READINESS_RESPONSE, 0, bytes((SERVED, 0)))
     client.send_request(op="close", row=5, nth=2, body=b"paid", dedupe="k1", got="t0")
     assert client.read_response() == (SERVED, {}, b"bytes")
-    seen = platform.requests[0]
-    assert seen.path == f"/v2/q/close/{5:016x}/2" and seen.body == b"paid"
-    assert seen.fields["x-hop-id"] == f"{client.base + 1:016x}" and seen.fields["x-replay-key"] == "k1"
-    assert seen.fields["if-none-match"] == "t0" and 0 < int(seen.fields["x-budget"]) <= 2000
-    assert seen.fields["x-fill-from"] == "p-0"
+    upstream = platform.requests[0]
+    assert upstream.path == f"/v2/q/close/{5:016x}/2" and upstream.body == b"paid"
+    assert (
+        upstream.fields["x-hop-id"] == f"{client.base + 1:016x}" and upstream.fields["x-replay-key"] == "k1"
+    )
+    assert upstream.fields["if-none-match"] == "t0" and 0 < int(upstream.fields["x-budget"]) <= 2000
+    assert upstream.fields["x-fill-from"] == "p-0"
 
 
-def test_unchanged_copies_cost_no_bytes(start_platform: Callable[..., Platform]) -> None:
+def test_an_unchanged_copy_is_answered_without_a_body(start_platform: Callable[..., Platform]) -> None:
     platform = start_platform()
     platform.set_reply(reply_with(304, ETag="t1", X_Born_Ms="1"))
     client = platform.client()
@@ -58,11 +62,11 @@
     assert client.read_response() == (SERVED, {"ok304": "1"}, b"")
 
 
-def test_answers_may_come_in_any_order(start_platform: Callable[..., Platform]) -> None:
+def test_responses_may_arrive_in_any_order(start_platform: Callable[..., Platform]) -> None:
     platform = start_platform()
     gate = threading.Event()
     slow = f"{1:016x}"
-    platform.set_reply(lambda s: ok()(s) if slow not in s.path or gate.wait(5) else None)
+    platform.set_reply(lambda r: ok()(r) if slow not in r.path or gate.wait(5) else None)
     client = platform.client()
     first, second = client.send_request(row=1), client.send_request(row=2)
     frame = client.read_frame()
@@ -73,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    ("bad", "op", "tries"),
+    ("reply", "op", "attempts"),
     [
         (reply_with(404), "small", 2),
         (reply_with(404), "once", 2),
@@ -84,24 +88,24 @@
         (reply_with(500), "close", 2),
         (lambda _: b"", "small", 2),
         (lambda _: b"", "once", 1),
-        (lambda _: HALF, "small", 2),
-        (lambda _: HALF, "once", 1),
+        (lambda _: TRUNCATED, "small", 2),
+        (lambda _: TRUNCATED, "once", 1),
         (lambda _: b"garbage\r\n\r\n", "once", 1),
     ],
 )
 def test_retries_go_as_far_as_the_class_allows(
-    start_platform: Callable[..., Platform], bad: Callable[[Any], bytes], op: str, tries: int
+    start_platform: Callable[..., Platform], reply: Callable[[Any], bytes], op: str, attempts: int
 ) -> None:
-    """Guards against an effect twice, and against a half answer taken for a whole one."""
+    """Guards against a duplicated effect, and against a truncated response taken for a complete one."""
     platform = start_platform()
     count = iter(range(100))
-    platform.set_reply(lambda s: bad(s) if next(count) == 0 else ok(b"second")(s))
+    platform.set_reply(lambda r: reply(r) if next(count) == 0 else ok(b"second")(r))
     client = platform.client()
     client.send_request(op=op, dedupe="key-1")
     code, _, body = client.read_response()
-    assert (code, body) == ((SERVED, b"second") if tries == 2 else (FAILED, b""))
-    assert len(platform.requests) == tries
-    assert {s.fields.get("x-replay-key") for s in platform.requests} == {"key-1"}
+    assert (code, body) == ((SERVED, b"second") if attempts == 2 else (FAILED, b""))
+    assert len(platform.requests) == attempts
+    assert {r.fields.get("x-replay-key") for r in platform.requests} == {"key-1"}
 
 
 def test_a_refused_connect_proves_that_nothing_ran(start_platform: Callable[..., Platform]) -> None:
@@ -115,7 +119,7 @@
 
 @pytest.mark.timing("the answer comes within 0.4 s")
 @pytest.mark.parametrize("op", ["small", "once"])
-def test_a_silent_store_costs_one_final_answer_in_time(
+def test_an_unresponsive_store_leads_to_one_final_response_in_time(
     start_platform: Callable[..., Platform], op: str
 ) -> None:
     platform = start_platform()
@@ -128,39 +132,39 @@
     assert time.monotonic() - began < 0.4
     client.send_request(row=2, ttl="300")
     frame = client.read_frame()
-    assert frame is not None and frame[1] == stream + 1  # and no second one for the first
+    assert frame is not None and frame[1] == stream + 1  # and no second response to the first
 
 
-def test_a_store_that_dies_and_returns_under_its_id_is_used_again(
+def test_a_store_restarted_under_the_same_id_is_used_again(
     start_platform: Callable[..., Platform],
 ) -> None:
-    """Idle connections to the former process lead nowhere: they belong to an id and a start."""
+    """Idle connections to the former process are dead: a connection belongs to an id and a start time."""
     platform = start_platform(caches=[HttpStandIn(ok(b"old"))])
     client = platform.client()
     client.send_request()
     assert client.read_response()[2] == b"old"
     platform.caches[0].listener.close()
     fresh = HttpStandIn(ok(b"new"))
-    line = instance_record("s-0", fresh.address, "std", startedAtMs=now_ms() - 60_000)
-    platform.publish(fleet={"generation": 2, "reset": False, "instances": [line]})
+    record = instance_record("s-0", fresh.address, "std", startedAtMs=now_ms() - 60_000)
+    platform.publish(fleet={"generation": 2, "reset": False, "instances": [record]})
     client.send_request(row=2)
     assert client.read_response()[2] == b"new"
 
 
-def test_an_address_used_again_is_another_store(start_platform: Callable[..., Platform]) -> None:
+def test_a_new_id_at_the_same_address_is_another_store(start_platform: Callable[..., Platform]) -> None:
     platform = start_platform(caches=[HttpStandIn(ok())])
     client = platform.client()
     client.send_request()
     client.read_response()
-    where = platform.caches[0].address
-    lines = [instance_record("s-0", where, "std", "Gone"), instance_record("s-9", where, "std")]
-    platform.publish(fleet={"generation": 2, "reset": False, "instances": lines})
+    address = platform.caches[0].address
+    records = [instance_record("s-0", address, "std", "Gone"), instance_record("s-9", address, "std")]
+    platform.publish(fleet={"generation": 2, "reset": False, "instances": records})
     client.send_request(row=2)
     client.read_response()
     assert len(platform.caches[0].listener.connections) == 2
 
 
-def test_a_drained_store_gets_nothing_new(start_platform: Callable[..., Platform]) -> None:
+def test_a_drained_store_gets_no_new_requests(start_platform: Callable[..., Platform]) -> None:
     platform = start_platform()
     platform.drain(0)
     client = platform.client()
@@ -170,64 +174,64 @@
     assert not platform.caches[0].requests and len(platform.caches[1].requests) == 20
 
 
-@pytest.mark.parametrize("news", ["drain", "purge"])
-def test_news_heard_while_connecting_holds_at_the_first_byte(
-    start_platform: Callable[..., Platform], news: str
+@pytest.mark.parametrize("change", ["drain", "purge"])
+def test_an_event_received_while_connecting_applies_before_the_first_byte(
+    start_platform: Callable[..., Platform], change: str
 ) -> None:
-    """The store's queue of connections is full, so the attempt waits while the news comes."""
+    """The store's listen backlog is full, so the attempt waits to connect while the event arrives."""
     store = socket.create_server(("127.0.0.1", 0), backlog=0)
-    where = store.getsockname()
-    held = [socket.create_connection(where)]
-    spare = [socket.socket() for _ in range(2)]
-    for one in spare:
-        one.setblocking(False)
-        one.connect_ex(where)
-    full = connects_in_progress(where[1])
-
-    def patient(settings: dict[str, Any]) -> None:
+    address = store.getsockname()
+    connections = [socket.create_connection(address)]
+    fillers = [socket.socket() for _ in range(2)]
+    for filler in fillers:
+        filler.setblocking(False)
+        filler.connect_ex(address)
+    before = connects_in_progress(address[1])
+
+    def extend_connect_timeout(settings: dict[str, Any]) -> None:
         settings["bounds"]["dial_timeout_ns"] = 5 * 10**9
 
     cache = HttpStandIn(ok())
-    platform = start_platform(caches=[cache], change_settings=patient)
-    line = instance_record("s-0", "%s:%d" % where, "std", startedAtMs=1)
-    platform.publish(fleet={"generation": 2, "reset": False, "instances": [line]})
+    platform = start_platform(caches=[cache], change_settings=extend_connect_timeout)
+    record = instance_record("s-0", "%s:%d" % address, "std", startedAtMs=1)
+    platform.publish(fleet={"generation": 2, "reset": False, "instances": [record]})
     client = platform.client()
     stream = client.send_request(row=7, ttl="4000")
-    until(lambda: connects_in_progress(where[1]) > full)
+    until(lambda: connects_in_progress(address[1]) > before)
     purged = now_ms()
-    if news == "drain":
-        line = instance_record("s-0", "%s:%d" % where, "std", "Terminating", startedAtMs=1)
-        platform.publish(fleet={"generation": 3, "reset": False, "instances": [line]})
+    if change == "drain":
+        record = instance_record("s-0", "%s:%d" % address, "std", "Terminating", startedAtMs=1)
+        platform.publish(fleet={"generation": 3, "reset": False, "instances": [record]})
     else:
         platform.publish(invalidate={"object": f"{7:016x}", "time": purged})
     store.settimeout(5)
-    got = b""
-    while b"/v2/q/" not in got:
-        made, peer = store.accept()
-        held.append(made)
-        if peer in [s.getsockname() for s in [held[0], *spare]]:
+    received = b""
+    while b"/v2/q/" not in received:
+        connection, peer = store.accept()
+        connections.append(connection)
+        if peer in [s.getsockname() for s in [connections[0], *fillers]]:
             continue
-        made.settimeout(5)
-        got = made.recv(4096)
-        if news == "drain":
-            assert got == b""
+        connection.settimeout(5)
+        received = connection.recv(4096)
+        if change == "drain":
+            assert received == b""
             break
-        age = int(got.decode().split("X-Max-Age-Ms: ")[1].split("\r")[0])
-        assert now_ms() - age >= purged and "X-Flags: j" not in got.decode()
-        made.sendall(response(200, b"new", ETag="t", X_Born_Ms=str(now_ms())))
+        age = int(received.decode().split("X-Max-Age-Ms: ")[1].split("\r")[0])
+        assert now_ms() - age >= purged and "X-Flags: j" not in received.decode()
+        connection.sendall(response(200, b"new", ETag="t", X_Born_Ms=str(now_ms())))
     frame = client.read_frame()
     assert frame is not None and frame[1] == stream
-    assert frame[2][0] == (REFUSED if news == "drain" else SERVED)
-    for one in [*held, *spare, store]:
-        one.close()
+    assert frame[2][0] == (REFUSED if change == "drain" else SERVED)
+    for sock in [*connections, *fillers, store]:
+        sock.close()
 
 
-def test_no_copy_from_before_a_purge_is_asked_for_or_served(start_platform: Callable[..., Platform]) -> None:
+def test_no_copy_from_before_a_purge_is_requested_or_served(start_platform: Callable[..., Platform]) -> None:
     platform = start_platform()
     client = platform.client()
     born = now_ms()
     platform.set_reply(ok(b"old", born_ms=born))
-    for _ in range(3):  # asked for more than once: ranked for keeping
+    for _ in range(3):  # requested more than once: a candidate for the local cache
         client.send_request(row=7)
         assert client.read_response()[2] == b"old"
     purged = now_ms()
@@ -243,7 +247,7 @@
 
 
 @pytest.mark.parametrize("event", [{"object": f"{7:016x}"}, {"bucket": 1}])
-def test_a_fill_in_flight_across_a_purge_is_not_kept(
+def test_a_fill_in_flight_during_a_purge_is_not_cached(
     start_platform: Callable[..., Platform], event: dict[str, Any]
 ) -> None:
     platform = start_platform()
@@ -254,8 +258,8 @@
     client.read_response()
     platform.publish(
         invalidate={"object": f"{7:016x}", "time": now_ms() - 10_000}
-    )  # lets no first copy serve
-    platform.set_reply(lambda s: ok(b"old", born_ms=born)(s) if gate.wait(5) else None)
+    )  # keeps the first copy from being served
+    platform.set_reply(lambda r: ok(b"old", born_ms=born)(r) if gate.wait(5) else None)
     before = upstream_requests(platform, 7)
     client.send_request(row=7)
     until(lambda: upstream_requests(platform, 7) > before)
@@ -268,25 +272,27 @@
 
 
 @pytest.mark.timing("copies are fresh for 2 s")
-def test_own_copies_serve_until_they_are_too_old(start_platform: Callable[..., Platform]) -> None:
+def test_local_copies_are_served_until_they_expire(start_platform: Callable[..., Platform]) -> None:
     platform = start_platform()
     client = platform.client()
     for _ in range(3):
         client.send_request(op="small", row=3)
         assert client.read_response()[2] == b"bytes"
-    kept = upstream_requests(platform, 3)
+    before = upstream_requests(platform, 3)
     client.send_request(op="small", row=3)
-    assert client.read_response()[2] == b"bytes" and upstream_requests(platform, 3) == kept
+    assert client.read_response()[2] == b"bytes" and upstream_requests(platform, 3) == before
     client.send_request(op="small", row=3, got="t1")
     assert client.read_response() == (SERVED, {"ok304": "1"}, b"")
-    platform.set_reply(ok(b"aged", born_ms=now_ms() - 1_990))  # fresh for 2 s: not when looked for
+    platform.set_reply(ok(b"aged", born_ms=now_ms() - 1_990))  # fresh for 2 s: expired when looked up
     for _ in range(3):
         client.send_request(op="small", row=4)
         client.read_response()
     assert upstream_requests(platform, 4) == 3
 
 
-def test_what_a_client_gave_up_is_given_up_at_the_store(start_platform: Callable[..., Platform]) -> None:
+def test_a_request_cancelled_by_the_client_is_cancelled_at_the_store(
+    start_platform: Callable[..., Platform],
+) -> None:
     platform = start_platform(caches=[HttpStandIn(lambda _: None)])
     client = platform.client()
     stream = client.send_request()
@@ -310,7 +316,7 @@
         b"\xff\xff\xff\xff",
     ],
 )
-def test_what_is_no_frame_gets_an_error_and_a_close(
+def test_an_invalid_frame_gets_an_error_and_a_close(
     start_platform: Callable[..., Platform], raw: bytes
 ) -> None:
     platform = start_platform()
@@ -324,7 +330,7 @@
     assert client.read_response()[0] == SERVED
 
 
-def test_a_request_that_makes_no_sense_gets_a_plain_answer(start_platform: Callable[..., Platform]) -> None:
+def test_an_invalid_request_gets_an_error_response(start_platform: Callable[..., Platform]) -> None:
     platform = start_platform()
     client = platform.client()
     stream = client.send_request(op="none")
@@ -336,12 +342,12 @@
     assert client.read_response()[0] == SERVED and len(platform.requests) == 1
 
 
-def test_over_its_bounds_it_refuses_at_once(start_platform: Callable[..., Platform]) -> None:
+def test_requests_over_the_limits_are_refused_at_once(start_platform: Callable[..., Platform]) -> None:
     platform = start_platform()
     platform.set_reply(lambda _: None)
     clients = [platform.client() for _ in range(6)]
     for n, client in enumerate(clients):
-        for row in range(33):  # one over what a connection may have open
+        for row in range(33):  # one more than a connection may have open
             client.send_request(row=100 * n + row + 1, ttl="5000")
     code, fields, _ = clients[-1].read_response()
     assert code == REFUSED and 0 < int(fields["pushback"]) <= 1000
@@ -349,45 +355,49 @@
     assert descriptors < 256
 
 
-def test_sigterm_serves_what_still_comes_says_so_and_ends(start_platform: Callable[..., Platform]) -> None:
+def test_sigterm_announces_the_drain_answers_late_requests_and_ends(
+    start_platform: Callable[..., Platform],
+) -> None:
     platform = start_platform()
     gate = threading.Event()
-    platform.set_reply(lambda s: ok()(s) if gate.wait(5) else None)
+    platform.set_reply(lambda r: ok()(r) if gate.wait(5) else None)
     client = platform.client()
     first = client.send_request()
     until(lambda: platform.requests)
     platform.program.process.send_signal(signal.SIGTERM)
     until(lambda: any("stopping" in x for x in platform.program.lines))
-    late = platform.client()  # the front has not noticed yet
+    late = platform.client()  # its sender has not noticed the drain yet
     late.send_request(row=2)
     frame = client.read_frame()
     assert frame is not None and frame[:2] == (frames.GO_AWAY, 0)
     gate.set()
     frame = client.read_frame()
     assert frame is not None and frame[1] == first and frame[2][0] == SERVED
-    said = [frame := late.read_frame(), late.read_frame()]
-    assert {f[0] for f in said if f} == {frames.GO_AWAY, frames.RESPONSE}
+    received = [frame := late.read_frame(), late.read_frame()]
+    assert {f[0] for f in received if f} == {frames.GO_AWAY, frames.RESPONSE}
     assert platform.program.wait() == 0
 
 
-def test_sigterm_ends_also_where_clients_go_on_asking(start_platform: Callable[..., Platform]) -> None:
-    """Told to send nothing new and turned away, they must not keep the drain from its end until SIGKILL."""
+def test_sigterm_ends_the_process_even_if_clients_go_on_requesting(
+    start_platform: Callable[..., Platform],
+) -> None:
+    """Guards against clients that ignore GO_AWAY and rejections and so keep the drain busy until SIGKILL."""
     platform = start_platform()
-    old, over = platform.client(), threading.Event()
+    existing, finished = platform.client(), threading.Event()
 
-    def connects() -> None:
+    def open_new_connections() -> None:
         with contextlib.suppress(OSError, AssertionError):
-            while not over.wait(0.05):
-                made = platform.client()
-                made.send_request()
-                made.read_frame()
+            while not finished.wait(0.05):
+                client = platform.client()
+                client.send_request()
+                client.read_frame()
 
-    def asks() -> None:
+    def request_on_existing() -> None:
         with contextlib.suppress(OSError):
-            while not over.wait(0.05):
-                old.send_request()
+            while not finished.wait(0.05):
+                existing.send_request()
 
-    threads = [threading.Thread(target=x, daemon=True) for x in (connects, asks)]
+    threads = [threading.Thread(target=x, daemon=True) for x in (open_new_connections, request_on_existing)]
     for thread in threads:
         thread.start()
     until(lambda: platform.requests)
@@ -395,12 +405,12 @@
     try:
         assert platform.program.wait() == 0
     finally:
-        over.set()
+        finished.set()
     for thread in threads:
         thread.join(5)
 
 
-def test_sigkill_and_a_clean_start(start_platform: Callable[..., Platform]) -> None:
+def test_a_clean_start_after_sigkill(start_platform: Callable[..., Platform]) -> None:
     platform = start_platform()
     platform.publish(invalidate={"object": f"{9:016x}", "time": now_ms()})
     platform.program.process.kill()
@@ -412,12 +422,12 @@
     client = platform.client()
     client.send_request(row=9)
     assert client.read_response()[0] == SERVED
-    assert "x-max-age-ms" in platform.requests[-1].fields  # the purge is known from the start on
+    assert "x-max-age-ms" in platform.requests[-1].fields  # the purge is known from startup on
     until(lambda: platform.log.polls[-1] == 2)
 
 
 @pytest.mark.parametrize(
-    ("text", "says_"),
+    ("text", "expected"),
     [
         (None, "can't be read"),
         ("{", "not JSON"),
@@ -427,20 +437,29 @@
         ('{"listen": "127.0.0.1:0", "settings": {"bounds": {}}}', "missing"),
     ],
 )
-def test_a_bad_configuration_is_one_plain_line(tmp_path: Path, text: str | None, says_: str) -> None:
+def test_an_invalid_configuration_is_reported_in_one_line(
+    tmp_path: Path, text: str | None, expected: str
+) -> None:
     path = tmp_path / "c.json"
     if text is not None:
         path.write_text(text)
-    ran = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "hallproxy"], env={"EDGE_CONFIG": str(path)}, cwd=ROOT, capture_output=True
     )
-    said = ran.stderr.decode()
-    assert ran.returncode == 1 and said.count("\n") == 1 and says_ in said and "Traceback" not in said
+    stderr = completed.stderr.decode()
+    assert (
+        completed.returncode == 1
+        and stderr.count("\n") == 1
+        and expected in stderr
+        and "Traceback" not in stderr
+    )
 
 
-def test_a_client_that_reads_nothing_holds_no_memory(start_platform: Callable[..., Platform]) -> None:
+def test_a_client_that_reads_nothing_is_closed_to_free_memory(
+    start_platform: Callable[..., Platform],
+) -> None:
     platform = start_platform()
-    platform.set_reply(lambda s: response(200, b"x" * 240_000, ETag="t", X_Born_Ms="1"))
+    platform.set_reply(lambda _: response(200, b"x" * 240_000, ETag="t", X_Born_Ms="1"))
     client = Client(platform.program.port)
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     for row in range(1, 33):
