--- a/tests/run/test_malformed_input.py
+++ b/tests/run/test_malformed_input.py
@@ -1,4 +1,4 @@
-"""Stores whose answers are spoilt, or bring more than belongs to them, on real sockets."""
+"""Stores that send malformed responses, or bytes beyond a response, on real sockets."""
 
 from __future__ import annotations
 
@@ -33,36 +33,36 @@
 
 SERVED, REFUSED, FAILED = frames.SERVED, frames.REJECTED, frames.FAILED
 GOOD = response(200, b"bytes", ETag="t1", X_Born_Ms="1")
-EARLY = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
+INTERIM = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nbytes\r\n0\r\n\r\n"
 
 
-class Raw:
-    """A store that writes what it is told, as it is, and keeps the connection open."""
+class RawStore:
+    """A store that writes the given bytes unchanged and keeps the connection open."""
 
-    def __init__(self, *said: bytes, endless: bytes = b"") -> None:
-        self.said, self.endless = list(said), endless
+    def __init__(self, *responses: bytes, endless: bytes = b"") -> None:
+        self.responses, self.endless = list(responses), endless
         self.requests = 0
-        self.ended = threading.Event()  # the gateway has closed the first connection
+        self.closed = threading.Event()  # the gateway has closed the first connection
         self.listener = Listener(self._serve)
         self.address = self.listener.address
 
-    def _serve(self, made: socket.socket) -> None:
-        file = made.makefile("rb")
+    def _serve(self, connection: socket.socket) -> None:
+        file = connection.makefile("rb")
         try:
             while read_request(file) is not None:
                 self.requests += 1
-                spoilt = len(self.said) > 0
-                made.sendall(self.said.pop(0) if spoilt else GOOD)
-                while spoilt and self.endless:
-                    made.sendall(self.endless)
+                malformed = len(self.responses) > 0
+                connection.sendall(self.responses.pop(0) if malformed else GOOD)
+                while malformed and self.endless:
+                    connection.sendall(self.endless)
         finally:
-            self.ended.set()
+            self.closed.set()
 
 
 @pytest.fixture
-def made(tmp_path: Path) -> Iterator[list[Platform]]:
+def platforms(tmp_path: Path) -> Iterator[list[Platform]]:
     started: list[Platform] = []
     yield started
     for platform in started:
@@ -71,80 +71,81 @@
         platform.program.wait()
 
 
-def start(made: list[Platform], path: Path, store: Any) -> tuple[Platform, Client]:
+def start_with_store(platforms: list[Platform], path: Path, store: Any) -> tuple[Platform, Client]:
     platform = Platform(path, caches=[store], limits={"memory_mb": 64, "sockets": 256}).start()
-    made.append(platform)
+    platforms.append(platform)
     return platform, platform.client()
 
 
-def rows(client: Client, count: int) -> list[tuple[int, bytes]]:
-    told = []
+def request_rows(client: Client, count: int) -> list[tuple[int, bytes]]:
+    responses = []
     for row in range(1, count + 1):
         client.send_request(op="small", row=row)
         code, _, body = client.read_response()
-        told.append((code, body))
-    return told
+        responses.append((code, body))
+    return responses
 
 
-def test_interim_answers_ahead_are_passed_over(made: list[Platform], tmp_path: Path) -> None:
-    store = Raw(EARLY + GOOD)
-    _, client = start(made, tmp_path, store)
-    assert rows(client, 2) == [(SERVED, b"bytes")] * 2
+def test_interim_responses_are_skipped(platforms: list[Platform], tmp_path: Path) -> None:
+    store = RawStore(INTERIM + GOOD)
+    _, client = start_with_store(platforms, tmp_path, store)
+    assert request_rows(client, 2) == [(SERVED, b"bytes")] * 2
     assert store.requests == 2 and len(store.listener.connections) == 1
 
 
-@pytest.mark.parametrize("behind", [GOOD.replace(b"bytes", b"other"), b"noise", b"HTTP/1.1 200 OK\r\n"])
-def test_bytes_behind_an_answer_are_never_the_next_ones(
-    made: list[Platform], tmp_path: Path, behind: bytes
+@pytest.mark.parametrize("trailing", [GOOD.replace(b"bytes", b"other"), b"noise", b"HTTP/1.1 200 OK\r\n"])
+def test_bytes_after_a_response_are_never_taken_for_the_next_one(
+    platforms: list[Platform], tmp_path: Path, trailing: bytes
 ) -> None:
-    store = Raw(GOOD + behind)
-    _, client = start(made, tmp_path, store)
-    assert rows(client, 3) == [(SERVED, b"bytes")] * 3
+    store = RawStore(GOOD + trailing)
+    _, client = start_with_store(platforms, tmp_path, store)
+    assert request_rows(client, 3) == [(SERVED, b"bytes")] * 3
     assert store.requests == 3 and len(store.listener.connections) == 2
 
 
-def test_bytes_that_come_while_a_connection_idles_end_it_and_cost_no_attempt(
-    made: list[Platform], tmp_path: Path
+def test_bytes_received_on_an_idle_connection_close_it_without_a_failed_attempt(
+    platforms: list[Platform], tmp_path: Path
 ) -> None:
-    store = Raw()
-    _, client = start(made, tmp_path, store)
-    client.send_request(
-        op="once", row=1
-    )  # a class that may not run twice: the next must not be sent on it at all
+    store = RawStore()
+    _, client = start_with_store(platforms, tmp_path, store)
+    # An at-most-once class: the next request must not be sent on this connection at all.
+    client.send_request(op="once", row=1)
     assert client.read_response()[0] == SERVED
     store.listener.connections[0].sendall(b"late noise")
-    assert store.ended.wait(5)
+    assert store.closed.wait(5)
     client.send_request(op="once", row=2)
     assert client.read_response()[0] == SERVED
     assert store.requests == 2
 
 
 @pytest.mark.parametrize(
-    "half", [b"HTTP/1.1 200", GOOD[:-2], GOOD[:-5], EARLY + GOOD[:30], CHUNKED[:-9], CHUNKED[:-3]]
+    "truncated", [b"HTTP/1.1 200", GOOD[:-2], GOOD[:-5], INTERIM + GOOD[:30], CHUNKED[:-9], CHUNKED[:-3]]
 )
-def test_an_answer_that_begins_and_stops_short_is_asked_for_again_in_time(
-    made: list[Platform], tmp_path: Path, half: bytes
+def test_a_request_is_retried_in_time_after_a_truncated_response(
+    platforms: list[Platform], tmp_path: Path, truncated: bytes
 ) -> None:
-    # Its connection stays open and quiet: without a limit on such pauses it takes the request's whole time.
-    store = Raw(half)
-    _, client = start(made, tmp_path, store)
-    assert rows(client, 2) == [(SERVED, b"bytes")] * 2
-    assert store.ended.wait(5) and store.requests == 3
+    # Its connection stays open and silent: without a read timeout it uses up the request's deadline.
+    store = RawStore(truncated)
+    _, client = start_with_store(platforms, tmp_path, store)
+    assert request_rows(client, 2) == [(SERVED, b"bytes")] * 2
+    assert store.closed.wait(5) and store.requests == 3
 
 
-def test_a_final_answer_may_come_long_after_an_interim_one(made: list[Platform], tmp_path: Path) -> None:
-    store = Raw(EARLY)
-    _, client = start(made, tmp_path, store)
+def test_a_final_response_may_arrive_long_after_an_interim_one(
+    platforms: list[Platform], tmp_path: Path
+) -> None:
+    store = RawStore(INTERIM)
+    _, client = start_with_store(platforms, tmp_path, store)
     client.send_request(op="small", row=1)
     until(lambda: store.requests)
-    assert not store.ended.wait(0.3)  # a store may work on it for as long as it likes
+    assert not store.closed.wait(0.3)  # a store may take any time for the final response
     store.listener.connections[0].sendall(GOOD)
     assert client.read_response()[0] == SERVED and store.requests == 1
 
 
-@pytest.mark.timing("both answers come within 2 s")
+@pytest.mark.timing("both responses arrive within 2 s")
 @pytest.mark.parametrize(
-    ("spoilt", "endless"),
+    ("malformed", "endless"),
     [
         (b"\x00\xff noise\r\n\r\n", b""),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nbytes", b""),
@@ -154,93 +155,93 @@
         (b"HTTP/1.1 200 OK\r\n", b"X-More: and more\r\n" * 1_000),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"1;" + b"e" * 4_000 + b"\r\nx\r\n"),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", b"X-Trailer: x\r\n" * 100),
-        (b"", EARLY * 100),
+        (b"", INTERIM * 100),
         (b"HTTP/1.1 304 Not Modified\r\nETag: t1\r\n\r\n", b""),
     ],
 )
-def test_spoilt_answers_are_cut_off_at_once_and_have_run(
-    made: list[Platform], tmp_path: Path, spoilt: bytes, endless: bytes
+def test_malformed_responses_are_aborted_at_once_and_count_as_executed(
+    platforms: list[Platform], tmp_path: Path, malformed: bytes, endless: bytes
 ) -> None:
-    """The request is tried again where its class allows, long before its time is up; else it has failed."""
-    store = Raw(spoilt, spoilt, endless=endless)
-    platform, client = start(made, tmp_path, store)
+    """The request is retried well before its deadline where its class allows it, and fails otherwise."""
+    store = RawStore(malformed, malformed, endless=endless)
+    platform, client = start_with_store(platforms, tmp_path, store)
     began = time.monotonic()
     client.send_request(op="once", ttl="3000")
     assert client.read_response()[0] == FAILED and store.requests == 1
-    assert store.ended.wait(5)
+    assert store.closed.wait(5)
     client.send_request(op="small", row=2, ttl="3000")
     assert client.read_response()[::2] == (SERVED, b"bytes") and store.requests == 3
     assert time.monotonic() - began < 2
     assert not [x for x in platform.program.lines if "fault" in x]
 
 
-def gone_uncollected(ended: Callable[[], Awaitable[weakref.ref[Stream]]]) -> bool:
-    """Whether the stream that has ended is gone from memory with no collection made."""
+def freed_without_collection(close_stream: Callable[[], Awaitable[weakref.ref[Stream]]]) -> bool:
+    """Whether the closed stream is freed without a run of the garbage collector."""
 
-    async def both() -> weakref.ref[Stream]:
-        left = await ended()
-        await asyncio.sleep(0.01)  # what the loop had yet to call
-        return left
+    async def close_and_settle() -> weakref.ref[Stream]:
+        reference = await close_stream()
+        await asyncio.sleep(0.01)  # lets the loop run its pending callbacks
+        return reference
 
     gc.disable()
     try:
-        return asyncio.run(both())() is None
+        return asyncio.run(close_and_settle())() is None
     finally:
         gc.enable()
 
 
-@pytest.mark.parametrize("within", [None, 5.0, 0.01])
-def test_a_connection_that_ends_under_a_read_is_gone_from_memory_at_once(within: float | None) -> None:
-    """Thousands end in a day: kept in a ring of references, they grew the memory by a megabyte every 15 s."""
+@pytest.mark.parametrize("timeout", [None, 5.0, 0.01])
+def test_a_connection_closed_during_a_read_is_freed_at_once(timeout: float | None) -> None:
+    """Thousands close in a day: kept alive by a reference cycle, they grew memory by 1 MB every 15 s."""
 
-    async def ended() -> weakref.ref[Stream]:
+    async def close_stream() -> weakref.ref[Stream]:
         ours, theirs = socket.socketpair()
-        made, buffer = tcp_stream(ours), Buffer(64)
-        if within != 0.01:
+        stream, buffer = tcp_stream(ours), Buffer(64)
+        if timeout != 0.01:
             asyncio.get_running_loop().call_soon(theirs.close)
         with contextlib.suppress(StreamClosedError, TimeoutError):
-            await buffer.fill(made, 1, within)
-        made.close()
+            await buffer.fill(stream, 1, timeout)
+        stream.close()
         theirs.close()
-        return weakref.ref(made)
+        return weakref.ref(stream)
 
-    assert gone_uncollected(ended)
+    assert freed_without_collection(close_stream)
 
 
-def test_a_connection_that_is_reset_under_a_read_is_gone_from_memory_at_once() -> None:
-    """The system's error holds the frames that met it, and they the stream: 25 MB in 45 minutes."""
+def test_a_connection_reset_during_a_read_is_freed_at_once() -> None:
+    """The OSError's traceback references the frames, and these the stream: it leaked 25 MB in 45 minutes."""
 
-    async def ended() -> weakref.ref[Stream]:
+    async def close_stream() -> weakref.ref[Stream]:
         with socket.create_server(("127.0.0.1", 0)) as server:
             ours = socket.create_connection(server.getsockname())
             theirs, _ = server.accept()
-        made, buffer = tcp_stream(ours), Buffer(64)
+        stream, buffer = tcp_stream(ours), Buffer(64)
         asyncio.get_running_loop().call_soon(reset, theirs)
         with contextlib.suppress(StreamClosedError):
-            await buffer.fill(made, 1)
-        assert isinstance(made.error, ConnectionResetError)
-        made.close()
-        return weakref.ref(made)
+            await buffer.fill(stream, 1)
+        assert isinstance(stream.error, ConnectionResetError)
+        stream.close()
+        return weakref.ref(stream)
 
-    assert gone_uncollected(ended)
+    assert freed_without_collection(close_stream)
 
 
-def test_stores_that_come_and_go_leave_nothing_behind(made: list[Platform], tmp_path: Path) -> None:
-    """A new id at an address used before, again and again: descriptors stay as they were."""
+def test_replaced_stores_leave_no_descriptors_open(platforms: list[Platform], tmp_path: Path) -> None:
+    """New ids at the same address, many times over: the number of descriptors does not grow."""
     store = HttpStandIn(ok())
-    platform, client = start(made, tmp_path, store)
+    platform, client = start_with_store(platforms, tmp_path, store)
 
     def descriptors() -> int:
         return len(list(Path(f"/proc/{platform.program.process.pid}/fd").iterdir()))
 
-    assert rows(client, 1) == [(SERVED, b"bytes")]
+    assert request_rows(client, 1) == [(SERVED, b"bytes")]
     before = descriptors()
     for n in range(30):
-        lines = [
+        records = [
             instance_record(f"s-{n}", store.address, "std", "Gone"),
             instance_record(f"s-{n + 1}", store.address, "std"),
         ]
-        platform.publish(fleet={"generation": n + 2, "reset": False, "instances": lines})
+        platform.publish(fleet={"generation": n + 2, "reset": False, "instances": records})
         client.send_request(op="small", row=100 + n)
         assert client.read_response()[0] == SERVED
     until(lambda: descriptors() <= before + 2)
