--- a/tests/run/test_misbehaving_clients.py
+++ b/tests/run/test_misbehaving_clients.py
@@ -1,4 +1,4 @@
-"""Clients that do not keep to the protocol, on real sockets: a word or a close in time, no harm to others."""
+"""Clients that violate the protocol, on real sockets: an error or a close in time, no effect on others."""
 
 from __future__ import annotations
 
@@ -20,54 +20,53 @@
 
 @pytest.fixture
 def platform(tmp_path: Path) -> Iterator[Platform]:
-    made = Platform(tmp_path, limits={"memory_mb": 64, "sockets": 128}).start()
-    yield made
-    if made.program.process.poll() is None:
-        made.program.process.kill()
-    made.program.wait()
+    started = Platform(tmp_path, limits={"memory_mb": 64, "sockets": 128}).start()
+    yield started
+    if started.program.process.poll() is None:
+        started.program.process.kill()
+    started.program.wait()
 
 
-def well(platform: Platform) -> None:
-    """A usual client is served."""
+def assert_serving(platform: Platform) -> None:
+    """A well-behaved client is served."""
     client = platform.client()
     client.send_request(row=999)
     assert client.read_response()[0] == SERVED
 
 
-def ended(client: Client) -> bool:
-    """Whatever it is still told, the connection ends."""
+def read_until_closed(client: Client) -> bool:
+    """Discard all frames until the connection is closed."""
     while client.read_frame() is not None:
         pass
     return True
 
 
-@pytest.mark.timing("the connection ends within 2.9 s")
+@pytest.mark.timing("the connection is closed within 2.9 s")
 @pytest.mark.parametrize("raw", [b"", b"\0\0\0\x40\x41\0", struct.pack(">IBI", 200, 65, 1) + b"\x08\x02op"])
-def test_silent_and_half_sent_connections_are_ended_in_time(platform: Platform, raw: bytes) -> None:
+def test_silent_connections_and_incomplete_frames_are_closed_in_time(platform: Platform, raw: bytes) -> None:
     began = time.monotonic()
     client = platform.client()
     client.sock.sendall(raw)
-    assert ended(client) and time.monotonic() - began < 2.9
-    well(platform)
+    assert read_until_closed(client) and time.monotonic() - began < 2.9
+    assert_serving(platform)
 
 
-@pytest.mark.timing("the connection ends within 2.9 s")
-def test_who_has_asked_may_stay_but_not_begin_a_frame_for_good(platform: Platform) -> None:
+@pytest.mark.timing("the connection is closed within 2.9 s")
+def test_an_idle_client_may_stay_but_an_incomplete_frame_is_closed(platform: Platform) -> None:
     client = platform.client()
     client.send_request()
     assert client.read_response()[0] == SERVED
-    time.sleep(
-        downstream_connection.FRAME_TIMEOUT + 0.5
-    )  # what is shown is that nothing happens: no condition to wait for
+    # Shows that nothing happens, so there is no condition to wait for.
+    time.sleep(downstream_connection.FRAME_TIMEOUT + 0.5)
     client.send_request(row=2)
     assert client.read_response()[0] == SERVED
     client.sock.sendall(b"\0\0\0\x40\x41\0")
     began = time.monotonic()
-    assert ended(client) and time.monotonic() - began < 2.9
+    assert read_until_closed(client) and time.monotonic() - began < 2.9
 
 
-@pytest.mark.timing("the connection ends within 2.9 s")
-def test_a_message_of_60_mb_is_cut_off_at_once(platform: Platform) -> None:
+@pytest.mark.timing("the connection is closed within 2.9 s")
+def test_a_message_of_60_mb_is_aborted_at_once(platform: Platform) -> None:
     client = platform.client()
     began = time.monotonic()
     with pytest.raises(OSError):
@@ -75,37 +74,37 @@
         for _ in range(60):
             client.sock.sendall(bytes(1_000_000))
     assert time.monotonic() - began < 2.9
-    well(platform)
+    assert_serving(platform)
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [{"op": "none"}, {"heap": "-1"}, {"heap": "inf"}, {"heap": "1e300"}, {"ttl": "x"}, {"ttl": "0"},
      {"ttl": "99999999"}, {"batch": "256"}, {"nth": "-1"}, {"nth": "99999999"}, {"row": ""}, {"call": ""},
      {"op": "close"}],
 )  # fmt: skip
-def test_requests_that_cannot_be_used_never_reach_a_store(platform: Platform, bad: dict[str, str]) -> None:
+def test_invalid_requests_never_reach_a_store(platform: Platform, invalid: dict[str, str]) -> None:
     client = platform.client()
     for _ in range(downstream_connection.MAX_INVALID_REQUESTS):
-        client.send_request(fields=bad)
-    told = [client.read_frame() for _ in range(downstream_connection.MAX_INVALID_REQUESTS)]
-    assert all(f is not None and f[0] == frames.RESPONSE and f[2][0] == FAILED for f in told)
-    assert ended(client)  # once more is no use: floods of it end with the connection
+        client.send_request(fields=invalid)
+    received = [client.read_frame() for _ in range(downstream_connection.MAX_INVALID_REQUESTS)]
+    assert all(f is not None and f[0] == frames.RESPONSE and f[2][0] == FAILED for f in received)
+    assert read_until_closed(client)  # at the limit: a flood of invalid requests ends its connection
     assert not platform.requests
-    well(platform)
+    assert_serving(platform)
 
 
-def test_an_id_that_is_open_is_not_taken_again(platform: Platform) -> None:
-    platform.set_reply(lambda s: None if f"{7:016x}" in s.path else ok()(s))
-    usual, other = platform.client(), platform.client()
-    usual.send_request(row=7)
+def test_an_id_in_use_is_not_accepted_again(platform: Platform) -> None:
+    platform.set_reply(lambda r: None if f"{7:016x}" in r.path else ok()(r))
+    first, other = platform.client(), platform.client()
+    first.send_request(row=7)
     until(lambda: platform.requests)
-    other.send_request(row=8, call=f"{usual.base + 1:016x}")
+    other.send_request(row=8, call=f"{first.base + 1:016x}")
     assert other.read_response()[0] == FAILED and len(platform.requests) == 1
-    well(platform)
+    assert_serving(platform)
 
 
-def test_two_requests_under_one_number_end_the_connection(platform: Platform) -> None:
+def test_two_requests_with_one_stream_number_close_the_connection(platform: Platform) -> None:
     platform.set_reply(lambda _: None)
     client = platform.client()
     client.send_request()
@@ -113,12 +112,12 @@
     client.send_request(row=2)
     frame = client.read_frame()
     assert frame is not None and frame[:2] == (frames.RESPONSE, 0)
-    frame = client.read_frame()  # the first was taken: its answer is owed
+    frame = client.read_frame()  # the first was accepted and is still answered
     assert frame is not None and frame[:2] == (frames.RESPONSE, 1) and client.read_frame() is None
     assert len(platform.requests) == 1
 
 
-def test_requests_taken_back_in_the_same_breath_are_never_begun(platform: Platform) -> None:
+def test_requests_cancelled_in_the_same_write_are_never_begun(platform: Platform) -> None:
     client = platform.client()
     raw = b""
     for stream in range(1, 301):
@@ -133,21 +132,21 @@
     assert len(platform.requests) < 100
 
 
-def test_connections_that_say_nothing_give_way_to_those_that_ask(platform: Platform) -> None:
-    """More are opened than there are places; who waits for an answer keeps its own."""
-    platform.set_reply(lambda s: None if f"{7:016x}" in s.path else ok()(s))
+def test_silent_connections_are_evicted_for_requesting_ones(platform: Platform) -> None:
+    """More are opened than the limit allows; a client that waits for a response keeps its connection."""
+    platform.set_reply(lambda r: None if f"{7:016x}" in r.path else ok()(r))
     waiting = platform.client()
     waiting.send_request(row=7, ttl="3000")
     until(lambda: platform.requests)
     silent = [socket.create_connection(("127.0.0.1", platform.program.port)) for _ in range(80)]
-    well(platform)
+    assert_serving(platform)
     frame = waiting.read_frame()
     assert frame is not None and frame[:2] == (frames.RESPONSE, 1)
-    for one in silent:
-        one.close()
+    for sock in silent:
+        sock.close()
 
 
-def test_a_connection_taken_back_while_it_opens_leaves_no_fault(platform: Platform) -> None:
+def test_cancelling_a_request_during_its_connect_logs_no_fault(platform: Platform) -> None:
     client = platform.client()
     for stream in range(1, 60):
         fields = {"op": "small", "call": f"{stream:016x}", "ttl": "2000", "row": f"{stream:016x}", "nth": "0",
@@ -155,17 +154,17 @@
         client.send_frame(frames.REQUEST, stream, frames.encode_fields(fields))
         client.send_frame(frames.CANCEL, stream)
     platform.set_reply(lambda _: response(200, b"x", ETag="t", X_Born_Ms="1"))
-    well(platform)
+    assert_serving(platform)
     assert not [x for x in platform.program.lines if "Error" in x or "fault" in x], platform.program.lines
 
 
-def test_clients_with_a_connection_for_each_request_come_and_go_at_the_limit(platform: Platform) -> None:
-    """Some streams have closed while their connections are still listed: that must not stop making room."""
-    stay = []
-    for n in range(60):  # more than there are places for
-        stay.append(platform.client())
-        stay[-1].send_request(op="small", row=n + 1)
-        assert stay[-1].read_response()[0] == SERVED
+def test_clients_with_one_connection_per_request_are_served_at_the_limit(platform: Platform) -> None:
+    """Some streams have closed while their connections are still listed: eviction must continue."""
+    kept_open = []
+    for n in range(60):  # more than the connection limit
+        kept_open.append(platform.client())
+        kept_open[-1].send_request(op="small", row=n + 1)
+        assert kept_open[-1].read_response()[0] == SERVED
     for n in range(150):
         client = platform.client()
         client.send_request(op="small", row=n % 7 + 1)
@@ -178,13 +177,13 @@
 
 
 def test_a_closed_stream_has_nothing_unsent() -> None:
-    """Asked of a closed one, the answer used to be a TypeError, which ended the drain and lost requests."""
+    """On a closed stream this used to raise a TypeError, which ended the drain and lost requests."""
 
     async def run() -> int:
         ours, theirs = socket.socketpair()
-        made = sockets.tcp_stream(ours)
-        made.close()
+        stream = sockets.tcp_stream(ours)
+        stream.close()
         theirs.close()
-        return made.unsent_bytes
+        return stream.unsent_bytes
 
     assert asyncio.run(run()) == 0
