--- a/tests/run/test_change_log_sources.py
+++ b/tests/run/test_change_log_sources.py
@@ -71,11 +71,11 @@
 
 
 class Relay:
-    """A stand-in for one relay of a log; ``mode`` is how it answers."""
+    """A stand-in for one relay of a log; ``mode`` selects how it responds."""
 
     def __init__(self, log: ChangeLog, mode: str = "good") -> None:
         self.log, self.mode = log, mode
-        self.fields: dict[str, str] = {}  # headers of good answers
+        self.fields: dict[str, str] = {}  # headers of good responses
         self.page: Callable[[int], bytes] | None = None  # overrides the body, by the number polled from
         self.http = HttpStandIn(self._answer)
         self.address = address(self.http.address)
@@ -179,7 +179,7 @@
     moved = [name for name in NAMES if before[name] != after[name]]
     assert set(moved) == {name for name in NAMES if before[name] == removed}
     new = Counter(after[name] for name in moved)
-    # 789 over 8: 99 each, sigma 9.3. A deviation of more than 4 sigma is no chance.
+    # 789 over 8: 99 each, sigma 9.3. A deviation of more than 4 sigma is not chance.
     assert len(new) == 8 and all(abs(n - len(moved) / 8) < 4 * 9.3 for n in new.values()), new
 
 
@@ -315,7 +315,7 @@
 
 @contextmanager
 def unresponsive_address() -> Iterator[Any]:
-    """An address whose listen backlog is full: a connect gets no answer."""
+    """An address whose listen backlog is full: a connect never completes."""
     server = socket.socket()
     server.bind(("127.0.0.1", 0))
     server.listen(0)
@@ -548,11 +548,11 @@
                 current.stream.close()
 
             loop.call_later(0.01, replace_connection)
-            due = time.monotonic() + 0.02
+            timer_due = time.monotonic() + 0.02
             former.fields = {"Connection": "close"}
             former.log.add(invalidate=purge(1))
             # Blocks the loop until both are ready.
-            until(lambda: current.stream.is_stale() and time.monotonic() > due)
+            until(lambda: current.stream.is_stale() and time.monotonic() > timer_due)
             await eventually(lambda: preferred.polls)
             assert not follower.purged and preferred.polls[0][0] == 0
             preferred.log.add(invalidate=purge(2))
@@ -767,7 +767,7 @@
     ("last", "since"), [(900, 5), (900, 700), (900, 900), (900, 5_000), (1, 0), (1, 1), (1, 5_000)]
 )
 def test_a_snapshot_is_applied_whatever_number_the_follower_has_reached(last: int, since: int) -> None:
-    """Far below it, within it, at its last number and above it; its first number may be negative."""
+    """The follower is far below its numbers, within them, at the last or above; the first may be negative."""
     relays = start_relays(1)
     relays[0].page = lambda number: json.dumps(
         snapshot(last, INSTANCES) if len(relays[0].polls) == 1 else {"seq": last + 1, "results": [
@@ -873,7 +873,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(STEP, max_size=12), st.integers(0, 12))
-def test_a_snapshot_equals_a_replay_of_all_events_and_leaves_no_copy_from_before_a_purge(
+def test_a_snapshot_restores_what_a_replay_does_and_leaves_no_copy_from_before_a_purge(
     steps: list[Any], applied: int
 ) -> None:
     """One follower applies the first ``applied`` events, then a snapshot; the other applies all events."""
@@ -936,16 +936,16 @@
 # The program ----------------------------------------------------------------------------------------------
 
 
-def write_logs_file(path: Path, relays: list[Relay], **more: Any) -> Path:
+def write_logs_file(path: Path, relays: list[Relay], **extra_keys: Any) -> Path:
     file = path / "change-logs.toml"
     names = ", ".join(f'"{r.http.address}"' for r in relays)
-    rest = "".join(f"{key} = {value}\n" for key, value in more.items())
-    file.write_text(f"addresses = [{names}]\n{rest}")
+    extra = "".join(f"{key} = {value}\n" for key, value in extra_keys.items())
+    file.write_text(f"addresses = [{names}]\n{extra}")
     return file
 
 
 @contextmanager
-def relayed_gateway(path: Path, count: int, **more: Any) -> Iterator[tuple[Platform, list[Relay]]]:
+def relayed_gateway(path: Path, count: int, **extra_config: Any) -> Iterator[tuple[Platform, list[Relay]]]:
     """A gateway that follows relays; nobody polls the log's own address from the configuration."""
     log = ChangeLog()
     platform = Platform(path)
@@ -957,7 +957,7 @@
     log.add(fleet={"generation": 1, "reset": True, "instances": instances})
     relays = start_relays(count, log)
     platform.args = ("--change-logs", str(write_logs_file(path, relays)))
-    platform.start(**more)
+    platform.start(**extra_config)
     try:
         yield platform, relays
     finally:
--- a/tests/run/test_event_races.py
+++ b/tests/run/test_event_races.py
@@ -311,11 +311,11 @@
         settings["specifics"]["parent_breaks_at"] = 1e-6  # a cold parent takes no load at all
 
     platform = start_platform(change_settings=fragile_parent, caches=[HttpStandIn(ok())])
-    lines = [
+    records = [
         instance_record("s-0", busy_store.address, "std"),
         instance_record("p-0", "127.0.0.1:1", "parent"),
     ]
-    platform.publish(fleet={"generation": 2, "reset": False, "instances": lines})
+    platform.publish(fleet={"generation": 2, "reset": False, "instances": records})
     waiting = busy_store.fill()
     client = platform.client()
     client.send_request(row=7, ttl="4000")
@@ -362,10 +362,10 @@
         stream = poller._stream
         assert stream is not None
         loop.call_later(0.01, poller.reconfigure, address(new.address), {"results": []})
-        due = time.monotonic() + 0.02
+        timer_due = time.monotonic() + 0.02
         old.add(invalidate={"object": f"{2:016x}", "time": now_ms()})
         # Blocks the loop until both are ready.
-        until(lambda: stream.is_stale() and time.monotonic() > due)
+        until(lambda: stream.is_stale() and time.monotonic() > timer_due)
         await eventually(lambda: new.polls)
         assert new.polls[0] == 1  # nothing of the old log's page was applied
         task.cancel()
--- a/tests/run/test_platform.py
+++ b/tests/run/test_platform.py
@@ -117,7 +117,7 @@
         assert client.read_response()[0] == SERVED
 
 
-@pytest.mark.timing("the answer comes within 0.4 s")
+@pytest.mark.timing("the response arrives within 0.4 s")
 @pytest.mark.parametrize("op", ["small", "once"])
 def test_an_unresponsive_store_leads_to_one_final_response_in_time(
     start_platform: Callable[..., Platform], op: str
