--- a/hallproxy/broker/broker.py
+++ b/hallproxy/broker/broker.py
@@ -31,7 +31,7 @@
 from hallproxy.broker.usage import Usage, UsageEvent, usage_label
 
 SECOND = 1_000_000_000  # ns
-MAX_CONCURRENCY = 256
+MAX_CONCURRENCY = 256  # requests in flight
 MAX_QUEUE_TIME_FACTOR = 0.4  # of the latency objective
 OVERLOADED_RETRY_FACTOR = 2  # times the expected slot time
 CLEANUP_INTERVAL = 10 * SECOND  # ns
@@ -148,13 +148,13 @@
         if reason is not RejectionReason.NO_CONTRACT:  # unknown names must not fill the usage table
             self.usage.count(team, usage_label(UsageEvent.REJECTED, reason), now)
         if reason is RejectionReason.OVER_BUDGET:
-            return Rejection(reason, retry_after)  # the budget is back at this time for all requests
+            return Rejection(reason, retry_after)  # the budget is refilled at this time for all requests
         return Rejection(reason, self._retry_after.extend(retry_after))
 
     def acquire(
         self, request_id: int, request: AdmissionRequest, contract: Contract, now: int
     ) -> SlotGrant | Rejection:
-        """Grant a slot, queue the request, or reject it where its slot would come too late."""
+        """Grant a slot, queue the request, or reject it if its slot would be granted too late."""
         cost_class = slot_time.cost_class(request.class_index, request.size_kb)
         expected = self._slot_times.expected(cost_class)
         if not self.contract_budgets.request_started(contract, now):
@@ -228,7 +228,7 @@
         """An attempt of the request has ended after ``latency`` (ns)."""
         request = self._requests.get(request_id)
         if request is None and outcome is AttemptOutcome.SUCCEEDED:
-            outcome = AttemptOutcome.INCONCLUSIVE  # its cost class is not known any more
+            outcome = AttemptOutcome.INCONCLUSIVE  # its cost class is no longer known
         cost_class = request.cost_class if request is not None else 0
         self.concurrency_limits.attempt_ended(endpoint, cost_class, latency, outcome, now)
 
@@ -241,7 +241,7 @@
         reason: Enum | None = None,
         size: int = 0,
     ) -> None:
-        """Free the slot of a request that has its response, of ``size`` bytes, or whose client is gone.
+        """Free the slot of a request that has its response, of ``size`` bytes, or lost its client.
 
         The value of ``reason`` is reported with the outcome. A second release does nothing.
         """
--- a/hallproxy/broker/concurrency_limits.py
+++ b/hallproxy/broker/concurrency_limits.py
@@ -6,9 +6,9 @@
 
 from hallproxy.broker.source_limit import INITIAL_LIMIT, MS, SECOND, AttemptOutcome, SourceLimit
 
-MIN_GATEWAY_DELAY = 2 * MS
+MIN_GATEWAY_DELAY = 2 * MS  # ns
 GATEWAY_DELAY_FACTOR = 2.0  # times the event loop's lag: a response passes through the loop twice
-GATEWAY_DELAY_SMOOTHING = 0.3
+GATEWAY_DELAY_SMOOTHING = 0.3  # weight of the latest sample
 UNUSED_AFTER = 5 * SECOND  # ns without an attempt after which a source adds nothing to the total
 FORGET_AFTER = 60 * SECOND  # ns without an attempt
 
@@ -68,7 +68,7 @@
             self.reductions += source.reduce_if_silent(now)
 
     def forget_unused(self, now: int) -> None:
-        """Drop sources that have long had no attempt, which bounds the table."""
+        """Drop sources without an attempt for ``FORGET_AFTER``, which bounds the table."""
         unused = [
             endpoint
             for endpoint, source in self.sources.items()
--- a/hallproxy/broker/connection_slots.py
+++ b/hallproxy/broker/connection_slots.py
@@ -2,8 +2,8 @@
 
 Two resources can run short in the process itself: connections and the event loop's time. Both are divided by
 max-min fairness among the networks in use. Connections are counted; time is expressed as a rate of requests
-(``request_rate``). A network above its part is rejected with a prepared response, which costs a small part
-of serving a request.
+(``request_rate``). A network above its share is rejected with a prepared response, which costs a small
+fraction of serving a request.
 
 The division follows core-stateless fair queueing: each network passes a fraction of its requests, its fair
 rate over its arrival rate, without a queue. A credit per network spreads these requests evenly, so that no
@@ -21,8 +21,8 @@
 ACTIVE_DURATION = 10 * SECOND  # ns since its last connection or request for which a network counts
 MAX_NETWORKS = 4_096  # further networks count as one
 OTHER_NETWORKS = "others"
-BUSY_RATE = 0.5  # requests a second from which a network takes part in the division
-REPORTED_NETWORKS = 10
+BUSY_RATE = 0.5  # requests a second from which a network counts in the division
+REPORTED_NETWORKS = 10  # those with the highest request rates
 
 
 @dataclass(slots=True, eq=False)
@@ -48,7 +48,7 @@
         self.connections = 0
         self._request_rate = RequestRateLimit()
         self._networks: OrderedDict[str, _Network] = OrderedDict()  # least recently seen first
-        self._counted_as_other: Counter[str] = Counter()  # connections that the full table had no entry for
+        self._counted_as_other: Counter[str] = Counter()  # connections of networks without an entry
 
     def try_connect(self, name: str, now: int) -> bool:
         """Take a connection slot for the network if it may have one."""
@@ -57,9 +57,9 @@
         if self.connections >= self.max_connections:
             return False
         # The reserved slots are for networks with few connections, also while one network is alone.
-        few = min(self._share(), self.max_connections / 2)
+        reserve_limit = min(self._share(), self.max_connections / 2)
         unreserved = self.max_connections - self.max_connections // RESERVED_DIVISOR
-        if self.connections >= unreserved and network.connections >= few:
+        if self.connections >= unreserved and network.connections >= reserve_limit:
             return False
         network.connections += 1
         self.connections += 1
@@ -119,9 +119,9 @@
         }
 
     def _counted_under(self, name: str) -> str:
-        """The network whose count has a connection of this one: a full table counted it with the others.
+        """The entry that counts a connection of this network: with a full table, that of the others.
 
-        An entry with connections is never forgotten, so the one named here is still in the table.
+        An entry with connections is never dropped, so the one returned is still in the table.
         """
         if not self._counted_as_other[name]:
             del self._counted_as_other[name]
@@ -173,7 +173,7 @@
         return busy
 
     def _divide_rate(self, busy: list[_Network]) -> None:
-        """Max-min fairness: a network that needs less than its part leaves the rest to the others."""
+        """Max-min fairness: a network that needs less than its share leaves the rest to the others."""
         remaining_rate = self._request_rate.limit
         remaining_networks = len(busy)
         for network in sorted(busy, key=lambda candidate: candidate.arrival_rate):
--- a/hallproxy/broker/contract_budgets.py
+++ b/hallproxy/broker/contract_budgets.py
@@ -98,7 +98,7 @@
         lends = organisation is None or organisation.lends
         retry_after = max(
             _time_until_available(usage.request_bucket, parent.request_bucket, lends, 1, now),
-            # Bytes are charged once they are sent: here there must only be no debt.
+            # Bytes are charged after they are sent: here only debt delays the request.
             _time_until_available(usage.byte_bucket, parent.byte_bucket, lends, 0, now),
         )
         if retry_after:
--- a/hallproxy/broker/idempotency_keys.py
+++ b/hallproxy/broker/idempotency_keys.py
@@ -18,7 +18,7 @@
 EXPIRED_RETENTION = 60 * SECOND  # ns after its window for which a key is remembered as expired
 MAX_KEYS = 65_536  # of all teams
 MAX_KEYS_PER_TEAM = 16_384  # a flood of keys evicts the team's own
-TRANSIT_MARGIN = 20 * MS  # ns subtracted from the window for the way to the origin
+TRANSIT_MARGIN = 20 * MS  # ns subtracted from the window for the transit to the origin
 DIGEST_BYTES = 16
 
 
--- a/hallproxy/broker/quota_tree.py
+++ b/hallproxy/broker/quota_tree.py
@@ -15,7 +15,7 @@
 
 SECOND = 1_000_000_000  # ns
 ACTIVE_DURATION = 3 * SECOND  # ns since its last request
-DEMAND_SMOOTHING = 0.05
+DEMAND_SMOOTHING = 0.05  # weight of the latest request
 MAX_NODES = 20_000  # beyond it unused nodes are dropped at the next request
 QuotaPath = tuple[tuple[str, float], ...]  # name and weight of each level, from the top down
 
@@ -141,9 +141,8 @@
     def forget_unused(self, now: int) -> None:
         """Drop inactive nodes with nothing in use or queued, which bounds the tree."""
         self._node_count = self._prune(self.root, now)
-        self._max_nodes = max(
-            MAX_NODES, 2 * self._node_count
-        )  # pruning again at each new node costs too much
+        # Twice what remains: pruning again at each new node would cost too much.
+        self._max_nodes = max(MAX_NODES, 2 * self._node_count)
 
     def _create(self, parent: QuotaNode, name: str, weight: float) -> QuotaNode:
         self._created += 1
--- a/hallproxy/broker/request_rate.py
+++ b/hallproxy/broker/request_rate.py
@@ -8,19 +8,19 @@
 
 MS = 1_000_000  # ns
 SECOND = 1_000_000_000  # ns
-ROUND_DURATION = 100 * MS
-OVERLOAD_LAG = 8 * MS  # mean lag of a round from which the event loop is overloaded
+ROUND_DURATION = 100 * MS  # ns
+OVERLOAD_LAG = 8 * MS  # ns, mean lag of a round above which the event loop is overloaded
 REDUCTION_FACTOR = 0.9  # of the completion rate
-REDUCTION_INTERVAL = 300 * MS  # requests admitted before a reduction are still being served
+REDUCTION_INTERVAL = 300 * MS  # ns; requests admitted before a reduction are still being served
 GROWTH_FACTOR = 1.02  # per round
 IDLE_GROWTH_FACTOR = 1.08  # per round with hardly any lag
-IDLE_LAG = OVERLOAD_LAG / 4
+IDLE_LAG = OVERLOAD_LAG / 4  # ns
 IN_USE_THRESHOLD = 0.7  # share of the limit completed from which it grows
-UNLIMITED_DIVISOR = 3  # a completion rate under this part of the limit ends the limit
+UNLIMITED_DIVISOR = 3  # a completion rate below the limit divided by this removes the limit
 FLOOR_FACTOR = 0.75  # of the best recent completion rate
 BEST_RATE_DECAY = 0.995  # per round
 MIN_RATE = 50.0  # requests a second
-RATE_SMOOTHING = 0.3
+RATE_SMOOTHING = 0.3  # weight of the latest round
 
 
 class RequestRateLimit:
--- a/hallproxy/broker/retry_after.py
+++ b/hallproxy/broker/retry_after.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-MAX_EXTENSION = 0.25  # part by which a time is extended at most
-PRECISION = 1_000_000
+MAX_EXTENSION = 0.25  # of the time
+PRECISION = 1_000_000  # positions
 GOLDEN_RATIO_STEP = 618_034  # of ``PRECISION``: successive steps are spread evenly
 
 
 class RetryAfterSpread:
-    """Extends each time by another part, so that requests rejected together do not retry together."""
+    """Extends each time by a different fraction, so that requests rejected together do not retry together."""
 
     def __init__(self) -> None:
         self._position = 0
--- a/hallproxy/broker/slot_time.py
+++ b/hallproxy/broker/slot_time.py
@@ -7,10 +7,10 @@
 
 MS = 1_000_000  # ns
 INITIAL_SLOT_TIME = 30 * MS  # ns, of a cost class without any request served
-SMOOTHING = 0.05
+SMOOTHING = 0.05  # weight of the latest request
 MAX_COST_CLASSES = 256
 SMALLEST_SIZE_KB = 4.0  # smaller requests are in one cost class
-SIZES_PER_CLASS = 64
+SIZES_PER_CLASS = 64  # size steps of each request class
 
 
 def cost_class(class_index: int, size_kb: float) -> int:
--- a/hallproxy/broker/source_limit.py
+++ b/hallproxy/broker/source_limit.py
@@ -21,13 +21,13 @@
 MS = 1_000_000  # ns
 SECOND = 1_000_000_000  # ns
 
-INITIAL_LIMIT = 8.0
-MIN_LIMIT = 2.0  # always allowed, so that a source's recovery is seen
+INITIAL_LIMIT = 8.0  # attempts in flight
+MIN_LIMIT = 2.0  # attempts in flight; always allowed, so that a source's recovery is seen
 
-WINDOW_MIN = 100 * MS
+WINDOW_MIN = 100 * MS  # ns
 WINDOW_MIN_ATTEMPTS = 12
-WINDOW_MAX = 2 * SECOND  # ends the window with any number of attempts
-BASELINE_INTERVAL = 3 * SECOND
+WINDOW_MAX = 2 * SECOND  # ns; ends the window with any number of attempts
+BASELINE_INTERVAL = 3 * SECOND  # ns
 BASELINE_LIMIT_FACTOR = 0.5  # of the limit, while the baseline is measured
 
 TARGET_RATIO = 1.6  # median ratio above which requests queue
@@ -37,18 +37,18 @@
 
 IN_USE_THRESHOLD = 0.7  # share of the limit in flight from which it grows
 GROWTH_FACTOR = 0.1  # for a ratio of 1, falling to nothing at the target ratio
-MIN_GROWTH = 0.2  # requests
-MAX_GROWTH = 2.0  # requests, or ...
-MAX_GROWTH_FACTOR = 0.05  # ... this part of the limit if that is more
+MIN_GROWTH = 0.2  # attempts per window
+MAX_GROWTH = 2.0  # attempts per window
+MAX_GROWTH_FACTOR = 0.05  # of the limit, if that is more than ``MAX_GROWTH``
 FAST_GROWTH_RATIO = 1.2  # up to which a limit that was never reduced grows fast
 FAST_GROWTH_FACTOR = 1.5
 
 SILENCE_FACTOR = 4.0  # times the smoothed latency without a response, after which a source is stalled
-LATENCY_SMOOTHING = 0.1
+LATENCY_SMOOTHING = 0.1  # weight of the latest response
 
-HALVED_FACTOR = 0.55  # part of its limit at which a run of reductions is reviewed
-UNCHANGED_FACTOR = 0.75  # part of its ratio under which the run has drained a queue
-FASTER_RATIO = 0.8  # median ratio below which the baseline is too long
+HALVED_FACTOR = 0.55  # of the limit before a run of reductions, at which the run is reviewed
+UNCHANGED_FACTOR = 0.75  # of the ratio before the run, below which the run has drained a queue
+FASTER_RATIO = 0.8  # median ratio below which the baseline is too high
 
 MAX_BASELINE_SAMPLES = 64  # latencies of one cost class
 MAX_COST_CLASSES = 64
@@ -200,7 +200,7 @@
                 continue
             measured = max(float(MS), statistics.median(baseline.samples) - gateway_delay)
             if baseline.latency and measured > baseline.latency:
-                # Rises by halves: others may have kept the source busy in this window.
+                # Half of the rise: other clients may have loaded the source in this window.
                 measured = (baseline.latency + measured) / 2
             baseline.latency = measured
             baseline.samples.clear()
@@ -255,7 +255,7 @@
         if self.limit > max(MIN_LIMIT, HALVED_FACTOR * self._reductions.limit):
             return False
         if ratio < UNCHANGED_FACTOR * self._reductions.ratio:
-            self._reductions = _Reductions(self.limit, ratio)  # a part of it was a queue
+            self._reductions = _Reductions(self.limit, ratio)  # part of the latency was a queue
             return False
         self._scale_baselines(ratio)
         self.limit = self._reductions.limit
--- a/hallproxy/broker/token_bucket.py
+++ b/hallproxy/broker/token_bucket.py
@@ -6,9 +6,8 @@
 
 SECOND = 1_000_000_000  # ns
 RATE_PRECISION = 1_000_000  # rates are rounded to millionths of a token per second
-TOKEN = (
-    SECOND * RATE_PRECISION
-)  # one token, in the bucket's unit: a millionth of a token per second, for 1 ns
+# One token, in the bucket's unit: a millionth of a token per second, for 1 ns.
+TOKEN = SECOND * RATE_PRECISION
 
 
 @dataclass(slots=True, frozen=True)
--- a/hallproxy/broker/usage.py
+++ b/hallproxy/broker/usage.py
@@ -1,7 +1,7 @@
 """Usage of each team: counts by outcome, slot time used and borrowed, bytes and latencies.
 
 Counts cover rounds of ``ROUND_DURATION``, the latest ``ROUND_COUNT`` of them. Latencies are in two HDR
-histograms, each for half of the rounds, so that both are bounded and forget.
+histograms, each for half of the rounds, so that memory is bounded and old latencies are dropped.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 MS = 1_000_000  # ns
 SECOND = 1_000_000_000  # ns
-ROUND_DURATION = 10 * SECOND
+ROUND_DURATION = 10 * SECOND  # ns
 ROUND_COUNT = 6
 ROUNDS_PER_HISTOGRAM = ROUND_COUNT // 2
 MAX_TEAMS = 16_384  # least recently used teams are dropped first
@@ -60,7 +60,7 @@
     number: int
     counts: Counter[UsageLabel] = field(default_factory=Counter)
     slot_seconds: float = 0.0
-    borrowed_slot_seconds: float = 0.0  # of them, beyond the team's share
+    borrowed_slot_seconds: float = 0.0  # of these, beyond the team's share
     bytes: int = 0
 
 
@@ -94,7 +94,7 @@
         return self._rounds[-1]
 
     def _start_period(self, period: int) -> None:
-        """Reuse the histogram of the period before the last one, which is forgotten."""
+        """Reuse the histogram of the period before the last one, which is dropped."""
         previous = self._current_latencies if period == self._period + 1 else None
         self._current_latencies, self._previous_latencies = self._previous_latencies, previous
         if self._current_latencies is not None:
--- a/tests/broker/test_broker.py
+++ b/tests/broker/test_broker.py
@@ -65,7 +65,7 @@
     assert flood["flood"].refused["over budget"] >= 9000 and flood["flood"].served <= 100 * 21
 
 
-def test_concurrency_limits_recover_after_the_source_has() -> None:
+def test_concurrency_limits_recover_with_the_source() -> None:
     source = Source(8, 20 * MS, lambda at: 5.0 if 5 < at < 10 else 1.0)
     flood = World(FLOOD, source, Broker(contracts_of(FLOOD), START)).run(20)
     served_after_recovery = sum(1 for tally in flood.values() for at in tally.times if 13 < at < 20)
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("step", [0, -3600 * SECOND, 24 * 3600 * SECOND])
-def test_a_clock_that_stands_or_jumps_gives_no_budget_away(step: int) -> None:
+def test_a_clock_that_stands_still_or_jumps_adds_no_budget(step: int) -> None:
     broker = Broker(Contracts((Contract("a", "s", rate=Rate(10, 10), retry_ratio=0.1),)), START)
 
     def count_admitted(now: int) -> int:
@@ -83,7 +83,7 @@
     assert count_admitted(START + step) == (10 if step > 0 else 0)
 
 
-def test_a_removed_contract_ends_new_work_alone() -> None:
+def test_a_removed_contract_rejects_only_new_requests() -> None:
     contract = Contract("a", "s", max_concurrency=2)
     broker = Broker(Contracts((contract,)), START)
     assert broker.acquire(1, REQUEST, contract, START) is SlotGrant.GRANTED
@@ -98,7 +98,7 @@
     assert broker.acquire(4, REQUEST, contract, START + MS) is SlotGrant.GRANTED
 
 
-def test_a_queued_request_whose_client_disconnects_is_forgotten() -> None:
+def test_a_queued_request_whose_client_disconnects_is_dropped() -> None:
     contract = Contract("a", "s")
     broker = Broker(Contracts((contract,)), START, max_concurrency=1)
     assert broker.acquire(1, REQUEST, contract, START) is SlotGrant.GRANTED
--- a/tests/broker/test_connection_slots.py
+++ b/tests/broker/test_connection_slots.py
@@ -83,17 +83,17 @@
 ) -> None:
     """Guards against slots that no disconnect releases, with a table of three networks."""
     monkeypatch.setattr(connection_slots, "MAX_NETWORKS", 3)
-    drawn, slots, now = random.Random(seed), ConnectionSlots(20), START
+    rng, slots, now = random.Random(seed), ConnectionSlots(20), START
     connected: list[str] = []
     for _ in range(5_000):
-        now += int(drawn.expovariate(1.0) * SECOND)
-        name = f"10.{drawn.randrange(12)}.0.0/24"
-        if drawn.random() < 0.5 and slots.try_connect(name, now):
+        now += int(rng.expovariate(1.0) * SECOND)
+        name = f"10.{rng.randrange(12)}.0.0/24"
+        if rng.random() < 0.5 and slots.try_connect(name, now):
             connected.append(name)
-        elif drawn.random() < 0.5:
+        elif rng.random() < 0.5:
             slots.admit_request(name, now)
-        if connected and drawn.random() < 0.4:
-            slots.disconnect(connected.pop(drawn.randrange(len(connected))))
+        if connected and rng.random() < 0.4:
+            slots.disconnect(connected.pop(rng.randrange(len(connected))))
         assert slots.connections == connections_by_network(slots) == len(connected)
         assert len(slots._networks) <= 4
     for name in connected:
--- a/tests/broker/test_fair_queue.py
+++ b/tests/broker/test_fair_queue.py
@@ -55,7 +55,7 @@
                 self.request(team)
 
     def release_first_finished(self, ends_at: dict[int, int], durations: dict[str, int]) -> str:
-        """Release the request that ends first; the team it was of."""
+        """Release the request that ends first; return its team."""
         for request_id, team in self.in_flight.items():
             ends_at.setdefault(request_id, self.now + durations[team])
         first = min(self.in_flight, key=lambda request_id: (ends_at[request_id], request_id))
@@ -65,7 +65,7 @@
         return team
 
     def run_saturated(self, seconds: float) -> dict[str, int]:
-        """All teams always have requests queued: how many of each are served."""
+        """Keep requests of all teams queued; return how many of each are served."""
         served = dict.fromkeys(self.leaves, 0)
         durations = dict.fromkeys(self.leaves, 10 * MS)
         ends_at: dict[int, int] = {}
--- a/tests/broker/test_quota_tree.py
+++ b/tests/broker/test_quota_tree.py
@@ -65,38 +65,38 @@
 ) -> None:
     """Guards against nodes that are pruned while a request is queued or has its slot there."""
     monkeypatch.setattr(quota_tree, "MAX_NODES", SMALL_BOUND)
-    drawn = random.Random(seed)
+    rng = random.Random(seed)
     queue = FairQueue()
     queue.limit = 5
     now, queued, granted = START, dict[int, QuotaNode](), dict[int, QuotaNode]()
     for request_id in range(3_000):
-        now += int(drawn.expovariate(1.0) * 50 * MS) + (8 * SECOND if drawn.random() < 0.005 else 0)
-        leaf = queue.tree.leaf(random_path(drawn), now)
+        now += int(rng.expovariate(1.0) * 50 * MS) + (8 * SECOND if rng.random() < 0.005 else 0)
+        leaf = queue.tree.leaf(random_path(rng), now)
         queue.tree.mark_active(leaf, now)
         if queue.try_grant(leaf, request_id, EXPECTED_DURATION, now):
             granted[request_id] = leaf
         elif queue.enqueue(leaf, request_id, EXPECTED_DURATION):
             queued[request_id] = leaf
-        if queued and drawn.random() < 0.2:
-            cancelled = drawn.choice(list(queued))
+        if queued and rng.random() < 0.2:
+            cancelled = rng.choice(list(queued))
             assert queue.cancel(cancelled)
             del queued[cancelled]
-        while granted and drawn.random() < 0.55:
-            released = drawn.choice(list(granted))
+        while granted and rng.random() < 0.55:
+            released = rng.choice(list(granted))
             del granted[released]
             queue.release(released, now)
             while (next_id := queue.dequeue(now)) is not None:
                 granted[next_id] = queued.pop(next_id)
-        if drawn.random() < 0.02:
+        if rng.random() < 0.02:
             queue.tree.forget_unused(now)
         check_tree(queue, queued | granted)
         assert queue.in_use == len(granted) and queue.queued == len(queued)
 
 
-def random_path(drawn: random.Random) -> QuotaPath:
+def random_path(rng: random.Random) -> QuotaPath:
     """A team with or without an organisation, and one of its contracts; weights change now and then."""
-    team = (f"team{drawn.randrange(9)}", drawn.choice((1.0, 1.0, 1.0, 2.5)))
-    contract = (f"service{drawn.randrange(2)}", 1.0)
-    if drawn.random() < 0.5:
+    team = (f"team{rng.randrange(9)}", rng.choice((1.0, 1.0, 1.0, 2.5)))
+    contract = (f"service{rng.randrange(2)}", 1.0)
+    if rng.random() < 0.5:
         return team, contract
-    return (f"@org{drawn.randrange(3)}", 2.0), (f"member-{team[0]}", team[1]), contract
+    return (f"@org{rng.randrange(3)}", 2.0), (f"member-{team[0]}", team[1]), contract
--- a/tests/broker/test_usage.py
+++ b/tests/broker/test_usage.py
@@ -1,4 +1,4 @@
-"""Usage of teams: bounds, and what the report forgets."""
+"""Usage of teams: bounds of the table, and old rounds that the report drops."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 START = 1_700_000_000 * SECOND
 
 
-def test_usage_is_bounded_and_forgets() -> None:
+def test_usage_is_bounded_and_old_rounds_are_dropped() -> None:
     usage = Usage(max_teams=3)
     for n in range(10):
         usage.count(f"t-{n}", REQUESTED, START)
