--- a/hallproxy/files/__init__.py
+++ b/hallproxy/files/__init__.py
@@ -1,3 +1,5 @@
-"""Files kept on disk by their digest: what is there and what leaves (``file_table``), and the reading and
-writing of it (``disk``). The second front uses it where its deploy file names a directory.
+"""A cache of files on disk by digest, which the repository uses if its deploy file names a directory.
+
+``file_table`` decides what is cached and what is evicted, ``disk`` reads and writes the files, and ``spool``
+receives large files, whose downloads can be resumed.
 """
--- a/hallproxy/files/disk.py
+++ b/hallproxy/files/disk.py
@@ -1,6 +1,6 @@
-"""The directory of kept files: written beside and renamed, read whole and checked, one owner at a time.
+"""The directory of cached files: written under another name and renamed, checked at each read, and locked.
 
-Nothing is synced: a file that a crash tore fails its digest when it is read, and is removed then.
+Nothing is synced: a file truncated by a crash fails its digest check when it is read, and is removed then.
 """
 
 from __future__ import annotations
@@ -13,68 +13,72 @@
 from pathlib import Path
 from typing import BinaryIO
 
-from hallproxy.files.file_table import Found
+from hallproxy.files.file_table import DirectoryEntry
 from hallproxy.files.messages import FileRead, FileWritten, ReadFile, RemoveFile, WriteFile
 from hallproxy.run.effect_runner import EffectRunner
 from hallproxy.run.log import log_line
 from hallproxy.state.effects import ExtensionEffect
 
-LOCK = ".lock"
+LOCK_FILE = ".lock"
 
 
 class DiskError(Exception):
-    """The directory can't be used; the text is one plain line."""
+    """The directory can't be used; the message is one line."""
 
 
 class Disk:
-    """Carries out the reducer's words about kept files, in threads: a disk may take its time."""
+    """Carries out the reducer's effects on cached files, in threads, as a disk may be slow."""
 
-    def __init__(self, where: Path) -> None:
-        """Raises DiskError where the directory can't be made, written to, or is another process's."""
-        self._where = where
+    def __init__(self, directory: Path) -> None:
+        """DiskError if the directory can't be created or written to, or another process has locked it."""
+        self._directory = directory
         try:
-            where.mkdir(parents=True, exist_ok=True)
-            self._lock = os.open(where / LOCK, os.O_RDWR | os.O_CREAT, 0o600)
+            directory.mkdir(parents=True, exist_ok=True)
+            self._lock = os.open(directory / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
         except OSError as error:
-            raise DiskError(f"{where} can't be used for files: {error.strerror}") from None
+            raise DiskError(f"{directory} can't be used for files: {error.strerror}") from None
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self._lock)
-            raise DiskError(f"{where} is in use by another process") from None
+            raise DiskError(f"{directory} is in use by another process") from None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._last_tasks: dict[str, asyncio.Task[None]] = {}  # by file, of those that have not ended
-        self._loop: EffectRunner
-
-    def list(self) -> list[Found]:
-        """What lies there, by name and size alone: no byte of it is read."""
-        with os.scandir(self._where) as entries:
-            plain = [(e.name, e.stat(follow_symlinks=False)) for e in entries if e.name != LOCK]
-        return [Found(name, stat.st_size, stat.st_mtime_ns) for name, stat in plain]
-
-    def attach(self, loop: EffectRunner) -> None:
-        self._loop = loop
+        self._last_tasks: dict[str, asyncio.Task[None]] = {}  # by file, those in progress
+        self._runner: EffectRunner
+
+    def list(self) -> list[DirectoryEntry]:
+        """The entries of the directory; no file is read."""
+        with os.scandir(self._directory) as entries:
+            stats = [
+                (entry.name, entry.stat(follow_symlinks=False))
+                for entry in entries
+                if entry.name != LOCK_FILE
+            ]
+        return [DirectoryEntry(name, stat.st_size, stat.st_mtime_ns) for name, stat in stats]
+
+    def attach(self, runner: EffectRunner) -> None:
+        self._runner = runner
 
     def do(self, effect: ExtensionEffect) -> None:
-        """Begin an operation in a thread; those on the same file run one after another."""
+        """Start an operation in a thread; operations on the same file run in order."""
         match effect:
             case ReadFile():
-                self._begin(str(effect.name), lambda: self._fetch(effect))
+                self._start_operation(str(effect.name), lambda: self._read(effect))
             case WriteFile():
-                self._begin(str(effect.name), lambda: self._store(effect))
+                self._start_operation(str(effect.name), lambda: self._write(effect))
             case RemoveFile():
-                self._begin(str(effect.name), lambda: self.remove(str(effect.name)))
+                self._start_operation(str(effect.name), lambda: self.remove(str(effect.name)))
 
-    def _begin(self, file: str, work: Callable[[], Callable[[], None] | None]) -> None:
+    def _start_operation(self, file: str, operation: Callable[[], Callable[[], None] | None]) -> None:
         previous = self._last_tasks.get(file)
 
         async def run() -> None:
             if previous is not None:
-                # Guards a new file against the removal of the one that it replaces.
+                # Otherwise the removal of a file could remove the new one that replaces it.
                 await asyncio.wait([previous])
-            done = await asyncio.to_thread(work)
-            if done is not None:
-                done()
+            report = await asyncio.to_thread(operation)
+            if report is not None:
+                report()
 
         def ended(task: asyncio.Task[None]) -> None:
             self._tasks.discard(task)
@@ -87,23 +91,23 @@
         task.add_done_callback(ended)
 
     def open(self, name: str) -> BinaryIO:
-        """A kept file, to be served from; it stays readable when it leaves the directory meanwhile."""
-        return (self._where / name).open("rb")
+        """Open a cached file to serve it; it stays readable if it is removed meanwhile."""
+        return (self._directory / name).open("rb")
 
     async def close(self) -> None:
-        """Wait for what is being written, then leave the directory to others."""
+        """Wait for the operations in progress, then release the directory's lock."""
         while self._tasks:
             await asyncio.wait(self._tasks)
         os.close(self._lock)
 
     def remove(self, name: str) -> None:
         try:
-            (self._where / name).unlink(missing_ok=True)
+            (self._directory / name).unlink(missing_ok=True)
         except OSError as error:
             log_line(f"files: {name} can't be removed: {error.strerror}")
 
-    def _fetch(self, effect: ReadFile) -> Callable[[], None]:
-        path, body, digest = self._where / str(effect.name), b"", effect.name.digest
+    def _read(self, effect: ReadFile) -> Callable[[], None]:
+        path, body, digest = self._directory / str(effect.name), b"", effect.name.digest
         try:
             if effect.large and not effect.verified:
                 with path.open("rb") as file:
@@ -111,27 +115,27 @@
             elif not effect.large:
                 body = path.read_bytes()
                 digest = hashlib.sha256(body).hexdigest()
-            os.utime(path)  # the order in which files leave outlives a restart
+            os.utime(path)  # so that the eviction order survives a restart
         except OSError as error:
             log_line(f"files: {effect.name} can't be read: {error.strerror}")
             digest = ""
-        good = digest == effect.name.digest
-        if digest and not good:
-            # Torn by a crash, or damaged since: upstream is asked, and the bytes never go out.
-            log_line(f"files: {effect.name} does not hold what its name says")
-        body = body if good else b""
-        return lambda: self._loop.dispatch(
-            FileRead(self._loop.now(), effect.request, effect.name, good, body)
+        succeeded = digest == effect.name.digest
+        if digest and not succeeded:
+            # Truncated by a crash or damaged since: it is fetched from upstream and never served.
+            log_line(f"files: {effect.name} does not match its digest and is fetched again")
+        body = body if succeeded else b""
+        return lambda: self._runner.dispatch(
+            FileRead(self._runner.now(), effect.request, effect.name, succeeded, body)
         )
 
-    def _store(self, effect: WriteFile) -> Callable[[], None]:
-        half = self._where / f"{effect.name}.half"
-        good = True
+    def _write(self, effect: WriteFile) -> Callable[[], None]:
+        partial_path = self._directory / f"{effect.name}.half"
+        succeeded = True
         try:
-            half.write_bytes(effect.body)
-            half.rename(self._where / str(effect.name))
+            partial_path.write_bytes(effect.body)
+            partial_path.rename(self._directory / str(effect.name))
         except OSError as error:
-            log_line(f"files: {effect.name} can't be written, none is for a while: {error.strerror}")
-            good = False
-            self.remove(half.name)
-        return lambda: self._loop.dispatch(FileWritten(self._loop.now(), effect.name, good))
+            log_line(f"files: {effect.name} can't be written, writes pause for a while: {error.strerror}")
+            succeeded = False
+            self.remove(partial_path.name)
+        return lambda: self._runner.dispatch(FileWritten(self._runner.now(), effect.name, succeeded))
--- a/hallproxy/files/file_cache.py
+++ b/hallproxy/files/file_cache.py
@@ -1,7 +1,7 @@
-"""The file cache in the life of a request: the reducer's ``FileCache``, on the table of cached files.
+"""The reducer's ``FileCache``: how cached files answer requests, on the table of cached files.
 
-A request that names a digest is answered from the disk where it can be; else it goes to the router, and
-requests for the same bytes wait for its one fetch. The contract, the budgets and the deadline of each were
+A request that names a digest is answered from the disk if possible; else it goes to the router, and further
+requests for the same bytes wait for this one fetch. The contract, the budgets and the deadline of each were
 checked before, and each has its one response through ``lifecycle.respond``.
 """
 
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from hallproxy.files.file_table import FileTable, Name, read_name
+from hallproxy.files.file_table import FileName, FileTable, parse_file_name
 from hallproxy.files.messages import FileRead, FileWritten, ReadFile, RemoveFile, WriteFile
 from hallproxy.state import lifecycle
 from hallproxy.state.events import AttemptResult, ExtensionEvent, FailureReason, Response, ResponseKind
@@ -17,12 +17,13 @@
 from hallproxy.state.model import GatewayState
 from hallproxy.state.ports import FileCache
 
-SHARED_FAILURES = (FailureReason.NOT_FOUND, FailureReason.REPLACED)  # they hold for all who want these bytes
+# They hold for all requests for these bytes.
+SHARED_FAILURES = (FailureReason.NOT_FOUND, FailureReason.REPLACED)
 
 
 @dataclass(slots=True)
 class Fetch:
-    """The one fetch of some bytes: the id of the request that makes it, and the ids of those that wait."""
+    """The one fetch of a file: the id of the request that makes it, and the ids of those that wait for it."""
 
     leader: int
     waiting: dict[int, None] = field(default_factory=dict)
@@ -37,17 +38,17 @@
         joined: requests that waited for another's fetch so far.
     """
 
-    def __init__(self, state: GatewayState, table: FileTable, large: int) -> None:
-        """``large``: files of so many bytes and more are never read into memory."""
+    def __init__(self, state: GatewayState, table: FileTable, large_bytes: int) -> None:
+        """``large_bytes``: files of this size and more are never read into memory."""
         self.table = table
         self.served = 0
         self.joined = 0
         self._state = state
-        self._large = large
-        self._fetches: dict[Name, Fetch] = {}  # bounded by the requests in flight
+        self._large_bytes = large_bytes
+        self._fetches: dict[FileName, Fetch] = {}  # bounded by the requests in flight
 
     def lookup(self, in_flight: InFlightRequest) -> bool:
-        """Read the file for the request, or let it wait for another's fetch; false: neither."""
+        """Read the file for the request, or let it wait for another's fetch; False: neither."""
         name = _file_name(in_flight)
         if name is None:
             return False
@@ -59,11 +60,11 @@
         self._fetches[name] = Fetch(in_flight.id)
         return self._read_file(in_flight, name)
 
-    def _read_file(self, in_flight: InFlightRequest, name: Name) -> bool:
-        if not self.table.use(name):
+    def _read_file(self, in_flight: InFlightRequest, name: FileName) -> bool:
+        if not self.table.mark_used(name):
             return False
-        large = self.table.sizes[name] >= self._large
-        self._state.effects.append(ReadFile(in_flight.id, name, large, name in self.table.checked))
+        large = self.table.sizes[name] >= self._large_bytes
+        self._state.effects.append(ReadFile(in_flight.id, name, large, name in self.table.verified))
         return True
 
     def downstream_closed(self, in_flight: InFlightRequest) -> bool:
@@ -80,7 +81,7 @@
         return bool(fetch.waiting)
 
     def finished(self, in_flight: InFlightRequest, response: Response) -> None:
-        """Answer those that wait for the request's fetch, or let one of them make the next one."""
+        """Answer the requests that wait for the request's fetch, or let one of them fetch again."""
         name = _file_name(in_flight)
         fetch = self._fetches.get(name) if name is not None else None
         if fetch is None or name is None:
@@ -99,31 +100,31 @@
         elif waiting:
             self._fetch_again(name, waiting)
 
-    def _fetch_again(self, name: Name, waiting: list[InFlightRequest]) -> None:
+    def _fetch_again(self, name: FileName, waiting: list[InFlightRequest]) -> None:
         leader, *others = waiting
         self._fetches[name] = Fetch(leader.id, {other.id: None for other in others})
         if not self._read_file(leader, name):
             lifecycle.submit(self._state, leader)
 
     def store(self, in_flight: InFlightRequest, body: bytes) -> None:
-        """Write a body that the router ranked for caching, and remove what it displaces."""
+        """Write a body that the router ranked for caching, and remove the files evicted for it."""
         name = _file_name(in_flight)
         if name is None or not body:
             return
-        evicted = self.table.begin(name, len(body), self._state.now)
+        evicted = self.table.begin_write(name, len(body), self._state.now)
         if evicted is not None:
             self._state.effects += [RemoveFile(old) for old in evicted]
             self._state.effects.append(WriteFile(name, body))
 
     def adopt(self, result: AttemptResult) -> None:
-        """Take a large file, which was downloaded to its place, into the table."""
-        name = read_name(result.stored_file)
+        """Add a large file, which was downloaded into the directory, to the table."""
+        name = parse_file_name(result.stored_file)
         if name is not None:
             self._state.effects += [RemoveFile(old) for old in self.table.adopt(name, result.size)]
 
     def discard(self, stored_file: str) -> None:
         """Remove a file that must not be served."""
-        name = read_name(stored_file)
+        name = parse_file_name(stored_file)
         if name is not None and self.table.drop(name):
             self._state.effects.append(RemoveFile(name))
 
@@ -132,12 +133,12 @@
         self._state.effects += [RemoveFile(name) for name in self.table.purge(object_id, group)]
 
     def handle(self, event: ExtensionEvent) -> None:
-        """Take what the disk reports."""
+        """Handle an event of the disk."""
         match event:
             case FileRead():
                 self._file_read(event)
             case FileWritten():
-                usable = self.table.written(event.name, event.succeeded, self._state.now)
+                usable = self.table.finish_write(event.name, event.succeeded, self._state.now)
                 if event.succeeded and not usable and event.name not in self.table.sizes:
                     # Purged while it was being written.
                     self._state.effects.append(RemoveFile(event.name))
@@ -149,7 +150,7 @@
             self._state.effects.append(RemoveFile(name))
         size = self.table.sizes.get(name)
         if event.succeeded and size is not None:
-            self.table.checked.add(name)
+            self.table.verified.add(name)
         if in_flight is None or in_flight.answered:
             return
         if not event.succeeded or size is None:  # None: purged while it was read
@@ -163,12 +164,12 @@
             etag=name.digest,
             generated_at=self._state.now,
         )
-        if size >= self._large:
+        if size >= self._large_bytes:
             response = replace(response, stored_file=str(name), size=size)
         lifecycle.respond(self._state, in_flight, response)
 
 
-def _file_name(in_flight: InFlightRequest) -> Name | None:
+def _file_name(in_flight: InFlightRequest) -> FileName | None:
     """The file that the request names by its digest; an index has no digest and is never on disk."""
     request = in_flight.request
-    return Name(request.object, request.digest) if request.digest and not request.is_write else None
+    return FileName(request.object, request.digest) if request.digest and not request.is_write else None
--- a/hallproxy/files/file_table.py
+++ b/hallproxy/files/file_table.py
@@ -1,7 +1,7 @@
-"""Which files the disk holds, which leave for a new one, and when nothing is written: no I/O, no clock.
+"""Which files are cached on disk, which are evicted for a new one, and when writes pause: no I/O, no clock.
 
 A file is named by its project's number and its digest, so that a purge finds it and its bytes can be checked
-whenever they are read. Nothing else is remembered of it: what a restart finds is the list of names and sizes.
+at each read. No other metadata is stored: a restart has only the names, sizes and times of the files.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from dataclasses import dataclass, field
 
 SECOND = 1_000_000_000  # ns
-PAUSE = 30 * SECOND  # without writes after a full disk or another failed write
-LARGEST = 2  # a file of over this part of the bound is not kept: it would push out too much at once
-WRITES = 8  # files being written at once; over that one is not kept this time
+WRITE_PAUSE = 30 * SECOND  # ns without writes after a failed one, for example on a full disk
+MAX_FILE_DIVISOR = 2  # a file above the table's bound divided by this is not cached: it would evict too many
+MAX_WRITES = 8  # files being written at once; further ones are not cached
 _NAME = re.compile(r"([0-9a-f]{16})-([0-9a-f]{64})")
 
 
 @dataclass(slots=True, frozen=True)
-class Name:
+class FileName:
     """A project's number and the SHA-256 of the bytes, in hex."""
 
     object: int
@@ -29,94 +29,107 @@
         return f"{self.object:016x}-{self.digest}"
 
 
-def read_name(text: str) -> Name | None:
-    """The name of a kept file; None for whatever else lies in the directory."""
-    found = _NAME.fullmatch(text)
-    return Name(int(found[1], 16), found[2]) if found else None
+def parse_file_name(text: str) -> FileName | None:
+    """The name of a cached file; None for any other entry of the directory."""
+    match = _NAME.fullmatch(text)
+    return FileName(int(match[1], 16), match[2]) if match else None
 
 
 @dataclass(slots=True, frozen=True)
-class Found:
-    """One entry of the directory at the start."""
+class DirectoryEntry:
+    """An entry of the directory, as found at the start."""
 
     name: str
-    size: int
-    used: int  # when it was last read or written, ns
+    size: int  # bytes
+    used_at: int  # ns, when it was last read or written
 
 
 @dataclass(slots=True)
 class FileTable:
-    """Bounded in bytes; longest unused leaves first. What is being written counts from the beginning."""
+    """The cached files, bounded in bytes; the least recently used is evicted first.
 
-    most: int  # bytes
+    A file counts from the start of its write.
+
+    Attributes:
+        sizes: bytes by name, least recently used first.
+        writing: bytes of files being written.
+        abandoned: files dropped while they are being written.
+        verified: files whose bytes have matched their digest since the start.
+        paused_until: ns; no write begins before it.
+    """
+
+    max_bytes: int
     used_bytes: int = 0
-    sizes: OrderedDict[Name, int] = field(default_factory=OrderedDict)
-    writing: dict[Name, int] = field(default_factory=dict)
-    abandoned: set[Name] = field(default_factory=set)  # dropped while they are being written
-    checked: set[Name] = field(default_factory=set)  # their bytes were found right since the start
+    sizes: OrderedDict[FileName, int] = field(default_factory=OrderedDict)
+    writing: dict[FileName, int] = field(default_factory=dict)
+    abandoned: set[FileName] = field(default_factory=set)
+    verified: set[FileName] = field(default_factory=set)
     paused_until: int = 0
 
-    def recover(self, found: Iterable[Found]) -> list[str]:
-        """Take in what the directory holds. Returns the names that have to go: halves, strangers, surplus."""
-        gone = []
-        for entry in sorted(found, key=lambda e: (e.used, e.name)):
-            name = read_name(entry.name)
-            if name is None or not 0 < entry.size <= self.most // LARGEST:
-                gone.append(entry.name)
+    def recover(self, entries: Iterable[DirectoryEntry]) -> list[str]:
+        """Add the directory's files; return the entries to remove: partial, foreign or beyond the bound."""
+        unusable = []
+        for entry in sorted(entries, key=lambda candidate: (candidate.used_at, candidate.name)):
+            name = parse_file_name(entry.name)
+            if name is None or not 0 < entry.size <= self.max_bytes // MAX_FILE_DIVISOR:
+                unusable.append(entry.name)
             else:
                 self.sizes[name] = entry.size
                 self.used_bytes += entry.size
-        return gone + [str(name) for name in self._make_room(0)]
+        return unusable + [str(name) for name in self._evict_for(0)]
 
-    def use(self, name: Name) -> bool:
-        """Whether it is there to be read; it is the last one to leave then."""
+    def mark_used(self, name: FileName) -> bool:
+        """Whether the file is cached; if so it becomes the most recently used."""
         if name not in self.sizes:
             return False
         self.sizes.move_to_end(name)
         return True
 
-    def begin(self, name: Name, size: int, now: int) -> list[Name] | None:
-        """Whether to write it: those that leave for it, or None where it is not to be kept."""
+    def begin_write(self, name: FileName, size: int, now: int) -> list[FileName] | None:
+        """The files to evict for one that is to be written; None: it is not to be cached."""
         known = name in self.sizes or name in self.writing or name in self.abandoned
-        writes = len(self.writing) + len(self.abandoned)
-        if known or now < self.paused_until or writes >= WRITES:
+        write_count = len(self.writing) + len(self.abandoned)
+        if known or now < self.paused_until or write_count >= MAX_WRITES:
             return None
-        if not 0 < size <= self.most // LARGEST or sum(self.writing.values()) + size > self.most:
+        if (
+            not 0 < size <= self.max_bytes // MAX_FILE_DIVISOR
+            or sum(self.writing.values()) + size > self.max_bytes
+        ):
             return None
-        gone = self._make_room(size)
+        evicted = self._evict_for(size)
         self.writing[name] = size
         self.used_bytes += size
-        return gone
+        return evicted
 
-    def written(self, name: Name, good: bool, now: int) -> bool:
-        """A write has ended. False: it was dropped meanwhile, or has failed."""
-        if not good:
-            # A full disk stays full for a while: trying each file would only cost time.
-            self.paused_until = now + PAUSE
+    def finish_write(self, name: FileName, succeeded: bool, now: int) -> bool:
+        """Record the end of a write; False: it failed, or the file was dropped meanwhile."""
+        if not succeeded:
+            # A full disk stays full for a while: trying to write each file would waste time.
+            self.paused_until = now + WRITE_PAUSE
         if name in self.abandoned:
             self.abandoned.remove(name)
             return False
         size = self.writing.pop(name, None)
         if size is None:
             return False
-        if good:
+        if succeeded:
             self.sizes[name] = size
         else:
             self.used_bytes -= size
-        return good
+        return succeeded
 
-    def adopt(self, name: Name, size: int) -> list[Name]:
-        """A file that was written elsewhere lies in the directory now; those that leave for it."""
+    def adopt(self, name: FileName, size: int) -> list[FileName]:
+        """Add a file that a download has placed in the directory; return the files to evict for it."""
         self.drop(name)
-        gone = self._make_room(size)
+        evicted = self._evict_for(size)
         self.sizes[name] = size
-        self.checked.add(name)
+        self.verified.add(name)
         self.used_bytes += size
-        return gone
+        return evicted
 
-    def drop(self, name: Name) -> bool:
-        """It is not used again; whether there is a file to remove now."""
-        self.checked.discard(name)
+    def drop(self, name: FileName) -> bool:
+        """Drop a file; whether there is one to remove now."""
+        self.verified.discard(name)
         size = self.sizes.pop(name, None)
         if size is not None:
             self.used_bytes -= size
@@ -126,17 +139,21 @@
             self.abandoned.add(name)
         return False
 
-    def purge(self, obj: int, group: int) -> list[Name]:
-        """Drop all of a project, or with 0 of a group (the number's last byte). Returns the files to go."""
+    def purge(self, object_id: int, group: int) -> list[FileName]:
+        """Drop a project's files, or with 0 a group's (the number's last byte); return those to remove."""
         names = (*self.sizes, *self.writing)
-        gone = [n for n in names if (n.object == obj if obj else n.object & 0xFF == group)]
-        return [name for name in gone if self.drop(name)]
-
-    def _make_room(self, size: int) -> list[Name]:
-        gone = []
-        while self.used_bytes + size > self.most and self.sizes:
-            name, old = self.sizes.popitem(last=False)
-            self.checked.discard(name)
-            self.used_bytes -= old
-            gone.append(name)
-        return gone
+        purged = [
+            candidate
+            for candidate in names
+            if (candidate.object == object_id if object_id else candidate.object & 0xFF == group)
+        ]
+        return [name for name in purged if self.drop(name)]
+
+    def _evict_for(self, size: int) -> list[FileName]:
+        evicted = []
+        while self.used_bytes + size > self.max_bytes and self.sizes:
+            name, evicted_size = self.sizes.popitem(last=False)
+            self.verified.discard(name)
+            self.used_bytes -= evicted_size
+            evicted.append(name)
+        return evicted
--- a/hallproxy/files/messages.py
+++ b/hallproxy/files/messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from hallproxy.files.file_table import Name
+from hallproxy.files.file_table import FileName
 from hallproxy.state.effects import ExtensionEffect
 from hallproxy.state.events import ExtensionEvent
 
@@ -13,11 +13,11 @@
 class ReadFile(ExtensionEffect):
     """Read a cached file for a request, and check it against its digest.
 
-    ``large``: its bytes stay on disk. ``verified``: a large one was checked before, and is not read again.
+    ``large``: its bytes stay on disk. ``verified``: a large file was checked before, and is not read again.
     """
 
     request: int
-    name: Name
+    name: FileName
     large: bool
     verified: bool
 
@@ -26,7 +26,7 @@
 class WriteFile(ExtensionEffect):
     """Write a cached file."""
 
-    name: Name
+    name: FileName
     body: bytes
 
 
@@ -34,16 +34,16 @@
 class RemoveFile(ExtensionEffect):
     """Remove a cached file."""
 
-    name: Name
+    name: FileName
 
 
 @dataclass(slots=True, frozen=True)
 class FileRead(ExtensionEvent):
-    """A file was read; ``body`` is empty for a large one. Not ``succeeded``: it can't be served."""
+    """A file was read; ``body`` is empty for a large file. Not ``succeeded``: it can't be served."""
 
     at: int
     request: int
-    name: Name
+    name: FileName
     succeeded: bool
     body: bytes = b""
 
@@ -53,5 +53,5 @@
     """A file was written, or ``succeeded`` is false."""
 
     at: int
-    name: Name
+    name: FileName
     succeeded: bool
--- a/hallproxy/files/resume.py
+++ b/hallproxy/files/resume.py
@@ -1,7 +1,7 @@
-"""Whether a transfer that broke off goes on where it stopped: RFC 9110, sections 13.1.5 and 14, no I/O.
+"""Whether an interrupted download can be resumed: RFC 9110, sections 13.1.5 and 14, no I/O.
 
-The digest of the whole is checked at the end in any case. What is decided here only saves bytes: a part is
-asked for on from the same upstream alone, and by a strong validator, or its rest would belong to other bytes.
+The digest of the complete file is checked at the end in any case, so resuming only saves bytes. The rest is
+requested only from the same upstream and with a strong validator: otherwise it could belong to other bytes.
 """
 
 from __future__ import annotations
@@ -10,42 +10,47 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-_STRONG = re.compile(r'"[\x21\x23-\x7e]*"')
-_RANGE = re.compile(r"bytes (\d{1,18})-(\d{1,18})/(\d{1,18}|\*)")
+_STRONG_ETAG = re.compile(r'"[\x21\x23-\x7e]*"')
+_CONTENT_RANGE = re.compile(r"bytes (\d{1,18})-(\d{1,18})/(\d{1,18}|\*)")
 
 
 @dataclass(slots=True, frozen=True)
-class Part:
-    """The beginning of a file, as it came from one upstream."""
+class ResumePoint:
+    """Where the download of a file from one upstream was interrupted."""
 
-    size: int
+    size: int  # bytes received
     host: str
-    validator: str  # of the whole it belongs to; empty: none that is strong
+    validator: str  # strong, of the complete file; empty: it has none
 
 
-def strong(field: str) -> str:
-    """An ETag that stands for the very bytes; empty: it does not."""
-    return field.strip() if _STRONG.fullmatch(field.strip()) else ""
+def strong_etag(field: str) -> str:
+    """The ETag if it is a strong validator, else empty."""
+    return field.strip() if _STRONG_ETAG.fullmatch(field.strip()) else ""
 
 
-def on_from(part: Part | None, host: str) -> tuple[int, str]:
-    """From which byte to ask, and by which validator; 0: for the whole."""
-    if part is None or not part.size or not part.validator or part.host != host:
+def resume_from(resume_point: ResumePoint | None, host: str) -> tuple[int, str]:
+    """The first byte to request, and the validator; 0: request the complete file."""
+    if (
+        resume_point is None
+        or not resume_point.size
+        or not resume_point.validator
+        or resume_point.host != host
+    ):
         return 0, ""
-    return part.size, part.validator
+    return resume_point.size, resume_point.validator
 
 
-def begins_at(asked_from: int, status: int, fields: Mapping[str, str], length: int) -> int | None:
-    """The byte that an answer's body begins at; None: it is of no use here.
+def body_offset(range_from: int, status: int, fields: Mapping[str, str], length: int) -> int | None:
+    """The offset in the file at which a response's body begins; None: the response can't be used.
 
-    An upstream that ignores the range, or holds other bytes by now, answers with the whole.
+    An upstream that ignores the range, or has other bytes by now, responds with the complete file.
     """
     if status == 200:
         return 0
-    told = _RANGE.fullmatch(fields.get("content-range", "").strip())
-    if status != 206 or not asked_from or told is None:
+    content_range = _CONTENT_RANGE.fullmatch(fields.get("content-range", "").strip())
+    if status != 206 or not range_from or content_range is None:
         return None
-    first, last = int(told[1]), int(told[2])
-    if first != asked_from or last - first + 1 != length:
+    first, last = int(content_range[1]), int(content_range[2])
+    if first != range_from or last - first + 1 != length:
         return None
-    return None if told[3] != "*" and last + 1 != int(told[3]) else first
+    return None if content_range[3] != "*" and last + 1 != int(content_range[3]) else first
--- a/tests/files/test_disk.py
+++ b/tests/files/test_disk.py
@@ -1,4 +1,4 @@
-"""The directory of cached files: operations on one file keep their order."""
+"""The directory of cached files: operations on one file run in order."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from hallproxy.files.disk import Disk
-from hallproxy.files.file_table import Name
+from hallproxy.files.file_table import FileName
 from hallproxy.files.messages import FileWritten, RemoveFile, WriteFile
 
 REMOVAL_DELAY = 0.05  # s, far longer than a write takes
@@ -33,7 +33,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     body = b"new bytes"
-    name = Name(1, hashlib.sha256(body).hexdigest())
+    name = FileName(1, hashlib.sha256(body).hexdigest())
     runner = Dispatched()
 
     async def replace_file() -> None:
--- a/tests/files/test_small_bounds.py
+++ b/tests/files/test_small_bounds.py
@@ -1,4 +1,4 @@
-"""The table of cached files with room for a few, over a model of the disk that ends operations late."""
+"""The table of cached files with a small bound, over a model of a disk whose operations end late."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from hallproxy.files.file_cache import DiskFileCache
-from hallproxy.files.file_table import FileTable, Name
+from hallproxy.files.file_table import FileName, FileTable
 from hallproxy.files.messages import FileWritten, RemoveFile, WriteFile
 from hallproxy.state.events import ClientRequest
 from hallproxy.state.in_flight import InFlightRequest
@@ -20,14 +20,14 @@
 
 
 class SlowDisk:
-    """Operations on one file run in their order, those on others in any; each ends when it is told to."""
+    """Operations on one file run in order, those on different files in any; ``end_one`` ends one of them."""
 
     def __init__(self, seed: int) -> None:
-        self.drawn = random.Random(seed)
+        self.rng = random.Random(seed)
         self.state = ReducerHarness().state
         self.cache = DiskFileCache(self.state, FileTable(MAX_BYTES), LARGE)
-        self.pending: dict[Name, deque[WriteFile | RemoveFile]] = {}
-        self.files: set[Name] = set()
+        self.pending: dict[FileName, deque[WriteFile | RemoveFile]] = {}
+        self.files: set[FileName] = set()
 
     def take_effects(self) -> None:
         for effect in self.state.effects:
@@ -36,28 +36,28 @@
         self.state.effects = []
 
     def end_one(self) -> None:
-        name = self.drawn.choice(list(self.pending))
+        name = self.rng.choice(list(self.pending))
         operation = self.pending[name].popleft()
         if not self.pending[name]:
             del self.pending[name]
         if isinstance(operation, RemoveFile):
             self.files.discard(name)
             return
-        succeeded = self.drawn.random() < 0.9
+        succeeded = self.rng.random() < 0.9
         if succeeded:
             self.files.add(name)
         self.cache.handle(FileWritten(self.state.now, name, succeeded))
         self.cache.table.paused_until = 0
 
-    def store(self, name: Name, size: int) -> None:
+    def store(self, name: FileName, size: int) -> None:
         request = ClientRequest("id", 0, 10**9, name.object, "file", digest=name.digest)
         self.cache.store(InFlightRequest(1, 1, request, 0), b"x" * size)
 
     def step(self) -> None:
-        name = Name(self.drawn.randrange(1, 5), "d" * 64)
-        draw = self.drawn.random()
+        name = FileName(self.rng.randrange(1, 5), "d" * 64)
+        draw = self.rng.random()
         if draw < 0.45:
-            self.store(name, self.drawn.randrange(1, 50))
+            self.store(name, self.rng.randrange(1, 50))
         elif draw < 0.60:
             self.cache.purge(name.object, 0)
         elif draw < 0.65:
@@ -67,19 +67,19 @@
         self.take_effects()
 
     def check(self) -> None:
-        kept = self.cache.table
-        assert kept.used_bytes == sum(kept.sizes.values()) + sum(kept.writing.values()) <= MAX_BYTES
-        assert not kept.sizes.keys() & kept.writing.keys()
+        table = self.cache.table
+        assert table.used_bytes == sum(table.sizes.values()) + sum(table.writing.values()) <= MAX_BYTES
+        assert not table.sizes.keys() & table.writing.keys()
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_the_table_names_the_files_that_the_disk_has(seed: int) -> None:
-    """Guards against a file that is removed, after a purge amid its writing, while the table names it."""
+    """Guards against a file that is removed, after a purge during its write, while the table names it."""
     disk = SlowDisk(seed)
     for _ in range(STEPS):
         disk.step()
         disk.check()
-        if disk.drawn.random() < 0.02:
+        if disk.rng.random() < 0.02:
             while disk.pending:
                 disk.end_one()
                 disk.take_effects()
--- a/tests/support/files_front.py
+++ b/tests/support/files_front.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hallproxy.files.file_table import Name
+from hallproxy.files.file_table import FileName
 from hallproxy.repository import simple
 from tests.support.repository_front import DEPLOY, PROJECT, Front, sha256_hex
 
@@ -17,7 +17,7 @@
 
 def cached_file_name(body: bytes) -> str:
     """The name under which a file with this body is cached."""
-    return str(Name(simple.object_id(PROJECT), sha256_hex(body)))
+    return str(FileName(simple.object_id(PROJECT), sha256_hex(body)))
 
 
 def upstream_downloads(front: Front, file: str = "a-1.whl") -> int:
