--- a/hallproxy/broker/connection_slots.py
+++ b/hallproxy/broker/connection_slots.py
@@ -48,7 +48,7 @@
         self.connections = 0
         self._request_rate = RequestRateLimit()
         self._networks: OrderedDict[str, _Network] = OrderedDict()  # least recently seen first
-        self._counted_as_other: Counter[str] = Counter()  # connections of networks without an entry
+        self._counted_as_other: Counter[str] = Counter()  # connections made while the table was full
 
     def try_connect(self, name: str, now: int) -> bool:
         """Take a connection slot for the network if it may have one."""
