--- a/hallproxy/routes/rules.py
+++ b/hallproxy/routes/rules.py
@@ -2,7 +2,7 @@
 
 A project's index is requested from the first tier of its route. Within a tier the upstreams mirror each
 other, and the decision module chooses among them as among any endpoints. Only if all of a tier report that
-the project is not found is the next tier tried; an error, a timeout or a rejection ends the walk. So the
+the project is not found is the next tier tried; an error, a timeout or a rejection ends the search. So the
 failure of a private upstream never exposes its names to a public one, which would allow dependency
 confusion attacks. Nothing is merged across tiers: the index of one tier is the response, and files come
 from that tier alone, so that tracks and alternate locations (PEP 708) need not be reconciled.
@@ -15,11 +15,11 @@
 
 DEFAULT_RULE = -1  # the rule index of the default route
 DEFAULT_PART = 0  # of the tier of all upstreams, so that a front without rules keeps its cache entries
-PART_BYTES = 6
+PART_BYTES = 6  # bytes of the digest that make a tier's part number
 
 
 class RouteError(ValueError):
-    """A rule that cannot be used."""
+    """A routing rule is invalid."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/hallproxy/routes/table.py
+++ b/hallproxy/routes/table.py
@@ -83,7 +83,7 @@
     named = [upstream for tier in rule.tiers for upstream in tier]
     unknown = [upstream for upstream in named if upstream not in upstreams]
     if unknown:
-        raise RouteError(f"route {index + 1} names upstream {unknown[0]!r}, which is not one")
+        raise RouteError(f"route {index + 1} names upstream {unknown[0]!r}, which is not defined")
     if len(set(named)) < len(named):
         raise RouteError(f"route {index + 1} names one upstream twice")
 
