--- a/hallproxy/state/__init__.py
+++ b/hallproxy/state/__init__.py
@@ -7,7 +7,7 @@
 - ``events``, ``effects``: the messages in and out.
 - ``in_flight``: requests, attempts and connections, with the tables of their states; ``ports``: protocols of
   optional parts; ``model``: ``GatewayState``.
-- ``caching``, ``lifecycle``, ``admission``, ``requests``: the life of a request.
-- ``connection_pool``, ``attempts``, ``connection_events``: the life of an attempt.
+- ``caching``, ``lifecycle``, ``admission``, ``requests``: the lifecycle of a request.
+- ``connection_pool``, ``attempts``, ``connection_events``: the lifecycle of an attempt.
 - ``reducer``: the tables of events and router actions with their handlers.
 """
--- a/hallproxy/state/admission.py
+++ b/hallproxy/state/admission.py
@@ -1,4 +1,4 @@
-"""The broker in the life of a request: admission, the queue, retry budgets and idempotency keys."""
+"""The broker's part in handling a request: admission, the queue, retry budgets and idempotency keys."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     RejectionReason.EXPIRED_KEY: FailureReason.IDEMPOTENCY_KEY,
     RejectionReason.OVERLOADED: FailureReason.OVERLOADED,
 }
-OVERLOAD_SIGNS = (
+OVERLOAD_STATUSES = (
     i.AttemptStatus.FULL,
     i.AttemptStatus.TIMEOUT,
     i.AttemptStatus.CONNECT_FAILED,
@@ -43,14 +43,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Admission:
-    """An admitted request: with the contract's deadline, and the contract that admits it."""
+    """An admitted request, limited to the contract's deadline, and the contract that admits it."""
 
     request: ClientRequest
     contract: Contract
 
 
 def update_contracts(state: GatewayState, event: ContractsUpdated) -> None:
-    """Put other contracts in force. Without any, queued requests start at once."""
+    """Apply new contracts. If there are none, queued requests start at once."""
     if event.contracts is None:
         state.broker = None
         for in_flight in state.awaiting_response.values():
@@ -63,7 +63,7 @@
 
 
 def admission_request(state: GatewayState, request: ClientRequest) -> AdmissionRequest:
-    """The request as the broker needs it."""
+    """The request in the form that the broker takes."""
     cls = state.request_class(request)
     has_key = cls.idempotency is i.Idempotency.IDEMPOTENCY_KEY
     return AdmissionRequest(
@@ -81,7 +81,7 @@
 
 
 def admit(state: GatewayState, broker: Broker, request: ClientRequest) -> Admission | Response:
-    """Whether a contract admits the request; else the response that rejects it."""
+    """Admit the request under a contract, or return the response that rejects it."""
     decision = broker.admit(admission_request(state, request), state.now)
     if isinstance(decision, Rejection):
         return _rejection_response(decision)
@@ -90,7 +90,7 @@
 
 
 def _rejection_response(rejection: Rejection) -> Response:
-    # With an expired key an earlier attempt may have executed: a rejection would call a retry harmless.
+    # With an expired key an earlier attempt may have executed; a rejection would mean that a retry is safe.
     expired_key = rejection.reason is RejectionReason.EXPIRED_KEY
     kind = ResponseKind.FAILED if expired_key else ResponseKind.REJECTED
     return Response(kind, retry_after=rejection.retry_after, reason=FAILURE_REASONS[rejection.reason])
@@ -99,12 +99,12 @@
 def acquire_slot(
     state: GatewayState, broker: Broker, in_flight: InFlightRequest, contract: Contract
 ) -> SlotGrant | Response:
-    """A slot for the request, or its place in the queue; a response where neither is to be had in time."""
+    """Acquire a slot or queue the request; return a response if it cannot be served in time."""
     request = in_flight.request
     demand = admission_request(state, request)
     grant = broker.acquire(in_flight.id, demand, contract, state.now)
     if isinstance(grant, Rejection):
-        # A local entry beats a rejection, even a stale one or over a busy uplink.
+        # A local entry is preferred to a rejection, even if it is stale or the uplink is busy.
         local = caching.cached_response(state, request, request.time_left, on_error=True)
         if local is None:
             return _rejection_response(grant)
@@ -124,7 +124,7 @@
 
 
 def start_queued(state: GatewayState) -> bool:
-    """Start the queued requests that have a slot now; whether there was any."""
+    """Start the queued requests that have a slot now; return whether there were any."""
     broker = state.broker
     any_started = False
     while broker is not None and (request_id := broker.dequeue(state.now)) is not None:
@@ -136,7 +136,7 @@
 
 
 def queue_timer_due(state: GatewayState, event: QueueTimerDue) -> None:
-    """Answer a request that is still queued and can't be served in time any more."""
+    """Answer a request that is still queued and can no longer be served in time."""
     in_flight = state.requests.get(event.request)
     if state.broker is None or in_flight is None or in_flight.answered:
         return
@@ -149,7 +149,7 @@
 
 
 def end_without_retry(state: GatewayState, in_flight: InFlightRequest, reason: FailureReason) -> None:
-    """No further attempt may be made: answer the request, unless another attempt is in flight."""
+    """Answer a request that may not be retried, unless another attempt is in flight."""
     if in_flight.answered or len(in_flight.attempts) > 1:
         return
     request = in_flight.request
@@ -187,11 +187,11 @@
         outcome = _attempt_outcome(state.request_class(request), status, duration)
         broker.attempt_ended(attempt.action.endpoint, attempt.request_id, duration, outcome, state.now)
     if attempt.written and status in i.PROVES_NOT_EXECUTED:
-        key_never_ran(state, broker, request, attempt)
+        undo_key_attempt(state, broker, request, attempt)
 
 
-def key_never_ran(state: GatewayState, broker: Broker, request: ClientRequest, attempt: Attempt) -> None:
-    """Take back what ``may_send_key`` recorded for a written attempt that did not execute."""
+def undo_key_attempt(state: GatewayState, broker: Broker, request: ClientRequest, attempt: Attempt) -> None:
+    """Undo what ``may_send_key`` recorded for a written attempt that did not execute."""
     cls = state.request_class(request)
     if cls.idempotency is i.Idempotency.IDEMPOTENCY_KEY and request.idempotency_key:
         broker.idempotency_keys.attempt_never_ran(request.team, request.idempotency_key, attempt.written_at)
@@ -202,5 +202,5 @@
     if status in (i.AttemptStatus.OK, i.AttemptStatus.MISS):
         return AttemptOutcome.SUCCEEDED
     if status is i.AttemptStatus.TIMEOUT and duration < request_class.latency_objective // 2:
-        return AttemptOutcome.INCONCLUSIVE  # its client left too little time from the start
-    return AttemptOutcome.LOST if status in OVERLOAD_SIGNS else AttemptOutcome.INCONCLUSIVE
+        return AttemptOutcome.INCONCLUSIVE  # the client's deadline was too short from the start
+    return AttemptOutcome.LOST if status in OVERLOAD_STATUSES else AttemptOutcome.INCONCLUSIVE
--- a/hallproxy/state/attempts.py
+++ b/hallproxy/state/attempts.py
@@ -18,9 +18,7 @@
 from hallproxy.state.model import GatewayState
 from hallproxy.state.units import MS
 
-IDEMPOTENCY_MARGIN = (
-    2 * MS
-)  # ahead of the end of an idempotency key's window, from which it is not sent again
+IDEMPOTENCY_MARGIN = 2 * MS  # an idempotency key is not resent this close to the end of its window
 PURGE_MARGIN = 2 * MS  # by which a copy must be younger than a purge
 MIN_MAX_AGE = MS  # 0 would mean any age
 FAILURE_REASONS = {
@@ -47,7 +45,7 @@
         return
     if state.broker is not None:
         if in_flight.any_written and not state.broker.try_retry(in_flight.id, state.now):
-            # The retry budget only prevents attempts: another one in flight goes on.
+            # The retry budget only prevents new attempts: one that is in flight continues.
             admission.end_without_retry(state, in_flight, in_flight.failure_reason)
             finish(state, attempt, i.AttemptStatus.NOT_SENT)
             return
@@ -84,7 +82,7 @@
 
 def connect(state: GatewayState, attempt: Attempt) -> None:
     """Open a connection for the attempt."""
-    # The client may have disconnected, or another attempt was first.
+    # The client may have disconnected, or another attempt may have answered the request.
     answered = state.requests[attempt.request_id].answered
     if answered or not connection_pool.open_connection(state, attempt):
         finish(state, attempt, i.AttemptStatus.NOT_SENT)
@@ -93,8 +91,7 @@
 def send(state: GatewayState, connection: UpstreamConnection, attempt: Attempt) -> None:
     """Send the attempt on the open connection, if it may still be sent.
 
-    Guards the rules on draining and purges against the time spent connecting: what was notified since the
-    router's decision counts.
+    Drains and purges that were notified while it was connecting, after the router's decision, apply.
     """
     in_flight = state.requests[attempt.request_id]
     if not _may_send(state, in_flight, attempt):
@@ -115,9 +112,9 @@
 
 
 def withdraw(state: GatewayState, attempt: Attempt) -> None:
-    """None of the attempt's bytes went out: it counts as not written, and may be written elsewhere."""
+    """Mark the attempt as not written, as none of its bytes were sent: it may be sent elsewhere."""
     if attempt.written and state.broker is not None:
-        admission.key_never_ran(state, state.broker, state.requests[attempt.request_id].request, attempt)
+        admission.undo_key_attempt(state, state.broker, state.requests[attempt.request_id].request, attempt)
     attempt.written = False
 
 
@@ -135,9 +132,9 @@
 
 
 def _may_execute(state: GatewayState, in_flight: InFlightRequest) -> bool:
-    """Whether an attempt may be written, beside those of the request that may have executed before it.
+    """Whether an attempt may be written, given the request's other attempts that may have executed.
 
-    The router has checked that at its decision; a connect may have taken until after the key's window.
+    The router has checked that at its decision, but connecting may have taken until after the key's window.
     """
     cls = state.request_class(in_flight.request)
     if cls.idempotency is i.Idempotency.IDEMPOTENT:
@@ -153,12 +150,12 @@
 
 
 def _freshness(state: GatewayState, in_flight: InFlightRequest, attempt: Attempt) -> tuple[int, i.FetchFlags]:
-    """The age limit (ns) and the flags to send: stricter than the router's after a purge notified since."""
+    """The age limit (ns) and flags to send: stricter than the router's if a purge was notified since."""
     action, request = attempt.action, in_flight.request
     max_age, flags = action.max_age, i.FetchFlags(action.flags)
     age_counted_from = state.purges.age_counted_from(request.object, request.group)
-    purged_lately = age_counted_from > attempt.started_at - state.settings.purge_duration
-    if not purged_lately or state.now <= attempt.started_at:
+    purged_recently = age_counted_from > attempt.started_at - state.settings.purge_duration
+    if not purged_recently or state.now <= attempt.started_at:
         return max_age, flags
     since_purge = max(MIN_MAX_AGE, state.now - age_counted_from - PURGE_MARGIN)
     max_age = min(max_age or since_purge, since_purge)
@@ -196,7 +193,7 @@
 
 
 def cancel(state: GatewayState, action: i.CancelAttempt) -> None:
-    """The router cancels an attempt."""
+    """Cancel the attempt, as the router decided."""
     in_flight = state.requests.get(action.request_id)
     attempt = in_flight.attempts.get(action.attempt) if in_flight is not None else None
     if attempt is not None:
@@ -204,7 +201,7 @@
 
 
 def timer_due(state: GatewayState, event: AttemptTimerDue) -> None:
-    """The attempt's deadline."""
+    """End the attempt at its deadline."""
     attempt = state.attempts.get(event.attempt)
     if attempt is not None:
         status = i.AttemptStatus.TIMEOUT if attempt.written else i.AttemptStatus.CONNECT_FAILED
@@ -222,7 +219,7 @@
 def finish(
     state: GatewayState, attempt: Attempt, status: i.AttemptStatus, result: AttemptResult | None = None
 ) -> None:
-    """An attempt has ended. The first success answers its request; the router is notified of each."""
+    """Remove an ended attempt. The first success answers its request; the router is notified of each end."""
     del state.attempts[attempt.id]
     in_flight = state.requests[attempt.request_id]
     del in_flight.attempts[attempt.number]
@@ -249,7 +246,7 @@
         load=result.load if result is not None else (),
     )
     state.pending_events.append(ended)
-    lifecycle.forget_if_finished(state, in_flight)
+    lifecycle.remove_if_finished(state, in_flight)
 
 
 def _succeeded(
@@ -276,5 +273,5 @@
     if reason is FailureReason.NOT_FOUND:
         caching.record_not_found(state, request, attempt.started_at)
     if request.digest and reason in (FailureReason.NOT_FOUND, FailureReason.REPLACED):
-        # The index that named these bytes is out of date, and would name them again.
+        # The cached index that named these bytes is outdated, and would name them again.
         caching.drop_object(state, request)
--- a/hallproxy/state/caching.py
+++ b/hallproxy/state/caching.py
@@ -1,4 +1,4 @@
-"""The local and the negative cache in the life of a request: lookups, admissions and revalidation."""
+"""The local and the negative cache: lookups, admissions and revalidation for requests."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from hallproxy.state.model import GatewayState
 from hallproxy.state.units import MS, SECOND
 
-AGE_MARGIN = 50 * MS  # an entry counts as stale this much ahead of the end of its fresh time
-NOT_MODIFIED_DIVISOR = 20  # a "not modified" response costs this part of sending the body
-STALE_WATCH_AFTER = 5 * SECOND  # without changes: a purge counts as notified after 7 s, received or not
+AGE_MARGIN = 50 * MS  # an entry counts as stale this long before its freshness lifetime ends
+NOT_MODIFIED_DIVISOR = 20  # a "not modified" response counts as the body's bytes divided by this
+STALE_WATCH_AFTER = 5 * SECOND  # of silence: a purge counts as notified after 7 s, received or not
 
 
 def cached_response(
@@ -26,11 +26,11 @@
     """The response from the local cache, if there is a usable entry and the uplink can send it in time.
 
     In time is within ``time_left`` (ns) and within ``objective_share`` of the latency objective.
-    ``on_error``: the alternative is an error, so a stale entry is served within its grace, but never one from
-    before a purge.
+    ``on_error``: the alternative is an error, so a stale entry is served within its grace, but never one
+    generated before a purge.
     """
     if is_watch_stale(state):
-        # Endpoints remove what was purged by themselves; an entry here would outlive an unnoticed purge.
+        # Endpoints carry out purges on their own; an entry here would outlive a purge that was missed.
         return None
     entry = _usable_entry(state, request, on_error)
     if entry is None:
@@ -82,23 +82,23 @@
 
 
 def is_watch_stale(state: GatewayState) -> bool:
-    """Whether the change log was last heard so long ago that a purge may have gone unnoticed."""
+    """Whether the change log has been silent for so long that a purge may have been missed."""
     if not state.watch_caught_up_at:
         return False
     return state.now - state.watch_caught_up_at > STALE_WATCH_AFTER
 
 
 def is_known_not_found(state: GatewayState, request: ClientRequest) -> bool:
-    """Whether the sources were lately found not to have it."""
+    """Whether the sources recently reported the requested part as not found."""
     if request.digest or is_watch_stale(state):
         return False
     return state.negative_cache.contains(_cache_key(request), state.now)
 
 
 def record_not_found(state: GatewayState, request: ClientRequest, requested_at: int) -> None:
-    """A source that was asked at ``requested_at`` (ns) does not have it.
+    """Record that a source did not have the requested part at ``requested_at`` (ns).
 
-    Not recorded for bytes that are named by a digest: the index that named them is asked again.
+    Not recorded for bytes that are named by a digest: the index that named them is requested again.
     """
     if state.negative_cache.ttl and not request.digest and not request.is_write:
         purged_at = state.purges.purged_at(request.object, request.group)
@@ -106,7 +106,7 @@
 
 
 def validator(state: GatewayState, request: ClientRequest) -> str:
-    """The validator of the local entry, to revalidate it by; empty: none.
+    """The validator to revalidate the local entry with; empty: none.
 
     Bytes that are named by a digest never change, and are not revalidated.
     """
@@ -119,7 +119,7 @@
 def revalidated(
     state: GatewayState, request: ClientRequest, sent_validator: str, result: AttemptResult
 ) -> AttemptResult:
-    """The result with the local entry's body, which the source says is current; a miss if that is gone."""
+    """The result with the body of the local entry that the source confirmed; a miss if it is gone."""
     entry = state.local_cache.get(_cache_key(request))
     if entry is None or not sent_validator or entry.validator != sent_validator:
         return AttemptResult(i.AttemptStatus.MISS, reason=FailureReason.BUSY)
@@ -127,7 +127,7 @@
 
 
 def store(state: GatewayState, in_flight: InFlightRequest, attempt: Attempt, result: AttemptResult) -> None:
-    """Cache the result if the router ranked it for that and no purge has overtaken it on its way here."""
+    """Cache the result if the router ranked it for that and its object was not purged since."""
     rank, request = attempt.action.cache_rank, in_flight.request
     if not rank or request.is_write:
         return
--- a/hallproxy/state/connection_events.py
+++ b/hallproxy/state/connection_events.py
@@ -1,4 +1,4 @@
-"""What happens on upstream connections, and what it means for the attempts that they carry."""
+"""Handlers of upstream connection events, and their effect on the attempts that the connections carry."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     if connection is None or connection.is_open:
         return
     connection.is_open = True
-    connection_pool.record_sign_of_life(state, connection.endpoint)
+    connection_pool.record_activity(state, connection.endpoint)
     if connection.attempt is not None:
         attempts.send(state, connection, connection.attempt)
 
@@ -36,8 +36,8 @@
     if connection is None:
         return
     attempt = connection.attempt
-    connection_pool.record_sign_of_life(state, connection.endpoint)
-    # After a response that nobody asked for, the next one would be taken for another request's.
+    connection_pool.record_activity(state, connection.endpoint)
+    # After an unsolicited response, the next one would be matched to the wrong request.
     connection_pool.release(state, connection, event.reusable and attempt is not None)
     if attempt is not None:
         result = _checked(state, attempt, event.result)
@@ -45,7 +45,7 @@
 
 
 def _checked(state: GatewayState, attempt: Attempt, result: AttemptResult) -> AttemptResult:
-    """The result after revalidation and the check against purges that came in meanwhile."""
+    """The result after revalidation and the check against purges received meanwhile."""
     request = state.requests[attempt.request_id].request
     if result.revalidated:
         result = caching.revalidated(state, request, attempt.validator, result)
@@ -53,7 +53,7 @@
         return result
     if result.generated_at > state.purges.purged_at(request.object, request.group):
         return result
-    # Older than a purge notified meanwhile, or from a cache on the way: it is requested again.
+    # Generated before a purge notified meanwhile, or from an intermediate cache: it is requested again.
     if state.file_cache is not None and result.stored_file:
         state.file_cache.discard(result.stored_file)
     return AttemptResult(i.AttemptStatus.MISS, reason=FailureReason.BUSY)
@@ -67,7 +67,7 @@
 def _close(
     state: GatewayState, connection_id: int, unused: bool = False, out_of_descriptors: bool = False
 ) -> None:
-    """A refused connect proves that nothing executed; a break after the first byte proves nothing."""
+    """A failed connect proves that nothing executed; a reset after the first byte proves nothing."""
     connection = state.connections.get(connection_id)
     if connection is None:
         return
@@ -78,7 +78,7 @@
     if out_of_descriptors and not connection_pool.close_longest_idle(state):
         attempts.finish(state, attempt, i.AttemptStatus.NOT_SENT)
     elif (unused or out_of_descriptors) and state.endpoints.is_ready(connection.endpoint):
-        # The endpoint itself may be well: only its idle connection was not.
+        # The endpoint itself may be healthy: only its idle connection was not.
         attempts.withdraw(state, attempt)
         attempts.connect(state, attempt)
     else:
@@ -93,10 +93,10 @@
     if connection is None:
         return
     if not connection.is_open:
-        _reset_attempts_at_silent(state, connection.endpoint)
+        _reset_attempts_if_unresponsive(state, connection.endpoint)
         _close(state, connection.id)
         return
-    # One timer for each connection's whole life: it is set again here and nowhere else.
+    # Each connection has a single timer, which is rescheduled only here.
     time_left = state.limits.idle_timeout
     if connection.attempt is None:
         time_left += connection.idle_since - state.now
@@ -106,11 +106,12 @@
     state.effects.append(ScheduleTimer(ConnectionTimerDue(state.now + time_left, connection.id)))
 
 
-def _reset_attempts_at_silent(state: GatewayState, endpoint: bytes) -> None:
-    """A connect got no answer. If nothing else came from the endpoint meanwhile, its machine has vanished.
+def _reset_attempts_if_unresponsive(state: GatewayState, endpoint: bytes) -> None:
+    """Reset attempts after a connect timeout if nothing else was received from the endpoint meanwhile.
 
-    Its open connections stay silent then, and what was sent on them would wait for its whole time-out. What
-    is not idempotent waits all the same: nothing shows that it did not execute.
+    Its machine has vanished then: its open connections stay silent, and attempts on them would wait for
+    their whole timeouts. Requests that are not idempotent wait all the same: nothing proves that they did
+    not execute.
     """
     since = state.now - state.settings.connect_timeout
     if state.last_heard_at.get(endpoint, 0) > since:
--- a/hallproxy/state/connection_pool.py
+++ b/hallproxy/state/connection_pool.py
@@ -9,7 +9,7 @@
 
 
 def open_connection(state: GatewayState, attempt: Attempt) -> bool:
-    """Open a connection for the attempt; false: as many as there may be are in use."""
+    """Open a connection for the attempt; false: the limit is reached and none is idle."""
     if len(state.connections) >= state.limits.connections and not close_longest_idle(state):
         return False
     endpoint = attempt.action.endpoint
@@ -24,7 +24,7 @@
 
 
 def take_idle(state: GatewayState, attempt: Attempt) -> UpstreamConnection | None:
-    """The most recently used idle connection to the attempt's endpoint, which carries the attempt now."""
+    """Assign the attempt to the most recently used idle connection to its endpoint, if there is one."""
     idle = state.idle_connections.get(attempt.action.endpoint)
     if not idle:
         return None
@@ -35,7 +35,7 @@
 
 
 def release(state: GatewayState, connection: UpstreamConnection, reusable: bool) -> None:
-    """Its attempt has ended: keep the connection idle for the next one, or close it."""
+    """Detach the connection's ended attempt, and keep the connection idle for reuse or close it."""
     connection.attempt = None
     idle = state.idle_connections.setdefault(connection.endpoint, [])
     if reusable and _leads_to_ready_process(state, connection):
@@ -68,7 +68,7 @@
 
 
 def close_longest_idle(state: GatewayState) -> bool:
-    """Close the connection that has been idle longest, for its descriptor; false: all are in use."""
+    """Close the connection that has been idle longest to free its descriptor; false: all are in use."""
     longest_of_each = (idle[0] for idle in state.idle_connections.values() if idle)
     longest = min(longest_of_each, key=lambda connection: connection.idle_since, default=None)
     if longest is None:
@@ -77,7 +77,7 @@
     return True
 
 
-def record_sign_of_life(state: GatewayState, endpoint: bytes) -> None:
-    """Something was heard from the endpoint's machine."""
-    if endpoint in state.endpoints.by_id:  # bounds the table: only listed endpoints are remembered
+def record_activity(state: GatewayState, endpoint: bytes) -> None:
+    """Record that the endpoint's machine has responded."""
+    if endpoint in state.endpoints.by_id:  # bounds the table: only listed endpoints are recorded
         state.last_heard_at[endpoint] = state.now
--- a/hallproxy/state/effects.py
+++ b/hallproxy/state/effects.py
@@ -1,4 +1,4 @@
-"""Effects: what the reducer asks ``hallproxy.run`` to do. It does none of it itself."""
+"""Effects: actions that the reducer requests and ``hallproxy.run`` carries out."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendResponse:
-    """Give the downstream its one final response."""
+    """Send the one final response to the downstream."""
 
     downstream: int
     response: Response
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenConnection:
-    """Open a connection to the address, and name it by the id from here on."""
+    """Open a connection to ``address``; later events and effects refer to it by the id ``connection``."""
 
     connection: int
     address: str
@@ -32,30 +32,30 @@
 
 @dataclass(slots=True, frozen=True)
 class UpstreamRequest:
-    """One attempt, as the endpoint is to read it.
+    """The request that an attempt sends to its endpoint.
 
     Attributes:
-        request_id: the client's id of the request, passed on unchanged.
+        request_id: the client's id for the request, passed on unchanged.
         class_index: the request's class.
-        name: the client's name of the object, passed on unchanged.
+        name: the client's name for the object, passed on unchanged.
         part: the part of the object.
         time_budget: ns until the attempt times out.
         idempotency_key: the client's key; empty: none.
-        client_etag: the etag of the copy that the client holds; empty: none.
+        client_etag: the etag of the client's cached copy; empty: none.
         body: the body of a write.
         is_write: whether it changes the object.
         source: the id of the endpoint that fills a miss; empty: no fill.
         cache_rank: the rank to cache the response with; 0: it is not cached.
-        max_age: the greatest age (ns) of a cached copy; 0: any.
+        max_age: the maximum age (ns) of a cached copy; 0: any.
         join: whether it may join a fill that is in progress.
-        cached_only: whether a miss is answered as such, without a fill.
+        cached_only: whether a miss is reported instead of filled.
         no_parent_copy: whether a parent that fills it need not cache it.
         revalidate: whether a cached copy must be revalidated.
-        digest: what the body must hash to; empty: any body will do.
-        validator: of the local cache entry: a body is wanted only if it is another by now; empty: none.
+        digest: the digest that the body must have; empty: any body is accepted.
+        validator: that of the local cache entry; a body is sent only if it has changed since; empty: none.
         object: the object's number.
-        range_from: the first byte that is wanted; those ahead of it are here already.
-        if_range: the validator that those bytes belong to; empty: none.
+        range_from: the offset of the first byte requested; the bytes before it are already stored.
+        if_range: the validator of those stored bytes; empty: none.
     """
 
     request_id: str
@@ -98,7 +98,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ScheduleTimer:
-    """Dispatch the event when its time ``at`` has come."""
+    """Dispatch the event at its time ``at``."""
 
     event: RouterTimerDue | AttemptTimerDue | ConnectionTimerDue | RequestTimerDue | QueueTimerDue
 
@@ -111,7 +111,7 @@
 
 
 class ExtensionEffect:
-    """Base class of the effects of an optional part; the loop hands them to that part."""
+    """Base class of the effects of an optional part; the event loop passes them to that part."""
 
     __slots__ = ()
 
--- a/hallproxy/state/endpoints.py
+++ b/hallproxy/state/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the change log last gave it, and where each endpoint's process is reached."""
+"""The endpoint list as last received from the change log, and the address of each endpoint's process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EndpointProcess(NamedTuple):
-    """One incarnation of an endpoint: a restart or a move to another address makes another one."""
+    """One incarnation of an endpoint: a restart or a move to another address starts a new one."""
 
     address: str
     started_at: int  # ns
@@ -26,9 +26,9 @@
     processes: dict[bytes, EndpointProcess] = field(default_factory=dict)
 
     def apply(self, change: i.EndpointsChanged, addresses: tuple[str, ...]) -> list[bytes]:
-        """Apply a change of the list; return the endpoints whose open connections lead nowhere any more.
+        """Apply a change of the list; return the endpoints whose open connections are no longer valid.
 
-        Of several lines of one endpoint the last one holds.
+        If the change names an endpoint several times, the last one applies.
         """
         missing = self._missing_from(change)
         for endpoint_id in missing:
--- a/hallproxy/state/events.py
+++ b/hallproxy/state/events.py
@@ -1,4 +1,4 @@
-"""Events: what has happened. Each carries its time ``at`` (ns), so the reducer needs no clock."""
+"""Events that the reducer applies. Each carries its time ``at`` (ns), so the reducer needs no clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ResponseKind(Enum):
-    """How a request ended. Usage is counted by the values."""
+    """How a request ended. The values are part of the usage report's labels."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -19,7 +19,7 @@
 
 
 class FailureReason(Enum):
-    """Why a response is no success, for fronts that can say so. Usage is counted by the values."""
+    """Why a request was not served, for fronts that report it. The values are part of usage labels."""
 
     NONE = ""
     NO_CONTRACT = "no contract"
@@ -44,13 +44,13 @@
 
     Attributes:
         kind: how the request ended.
-        body: the body; empty where ``not_modified`` or ``stored_file`` stands for it.
-        not_modified: whether the copy that the client holds is the current one.
+        body: the body; empty if ``not_modified`` or ``stored_file`` is set.
+        not_modified: whether the client's cached copy is current.
         retry_after: ns after which the client may retry; 0: unknown.
         etag: the body's etag.
         generated_at: ns; when the origin generated the body; 0: unknown.
-        reason: why it is no success.
-        stale: whether it is older than its fresh time, as nothing younger was to be had.
+        reason: why the request was not served.
+        stale: whether it is past its freshness lifetime, as no fresh response was available.
         stored_file: the cached file that holds the body; empty: none.
         size: bytes of that file.
     """
@@ -72,23 +72,23 @@
     """A client's request.
 
     Attributes:
-        request_id: the client's id of it, passed on unchanged; empty: none.
+        request_id: the client's id for it, passed on unchanged; empty: none.
         class_index: its request class.
         time_left: ns from its receipt to its deadline.
         object: the object's number.
-        name: the client's name of the object, passed on unchanged.
+        name: the client's name for the object, passed on unchanged.
         part: the part of the object.
         group: the object's purge group.
         size_kb: the expected size of the response.
         is_retry: whether the client has sent it before.
         is_write: whether it changes the object.
         idempotency_key: the client's key, passed on unchanged; empty: none.
-        client_etag: the etag of the copy that the client holds; empty: none.
+        client_etag: the etag of the client's cached copy; empty: none.
         body: the body of a write, passed on unchanged.
         team: the team that sent it, as its contract names it.
         service: the team's service.
         client_address: the client's address; empty: unknown.
-        digest: what the body must hash to; empty: any body will do.
+        digest: the digest that the body must have; empty: any body is accepted.
         allowed_endpoints: the endpoints that may answer it; empty: all.
     """
 
@@ -131,7 +131,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionOpened:
-    """A connection that was to be opened is open; nothing is sent on it yet."""
+    """A requested connection is open; nothing is sent on it yet."""
 
     at: int
     connection: int
@@ -141,8 +141,8 @@
 class ConnectionClosed:
     """A connection could not be opened, broke or was closed by its peer.
 
-    ``unused``: nothing went out on it. ``out_of_descriptors``: there was no file descriptor for it here,
-    which says nothing of the endpoint.
+    ``unused``: nothing was sent on it. ``out_of_descriptors``: this process had no file descriptor left for
+    it, which does not indicate a fault of the endpoint.
     """
 
     at: int
@@ -157,14 +157,14 @@
 
     Attributes:
         status: how the attempt ended.
-        body: the body; empty where another field stands for it.
-        not_modified: whether the copy that the client holds is the current one.
+        body: the body; empty if ``not_modified``, ``revalidated`` or ``stored_file`` is set.
+        not_modified: whether the client's cached copy is current.
         etag: the body's etag.
         generated_at: ns; when the origin generated the body; 0: unknown.
         load: the load figures that the endpoint reported, for the router.
-        reason: why it is no success, where the status does not say it.
-        validator: the source's name for this version, to revalidate it by; empty: unknown.
-        revalidated: whether the local cache entry is still current: it came without a body.
+        reason: why it is not a success, if the status alone does not determine it.
+        validator: the source's own identifier of this version, for revalidation; empty: unknown.
+        revalidated: whether the source confirmed the local cache entry as current, without sending a body.
         stored_file: the cached file that holds the body; empty: none.
         size: bytes of that file.
     """
@@ -212,8 +212,8 @@
 class PurgeNotified:
     """An object, or with object 0 its whole group, was purged at ``purged_at`` (ns).
 
-    ``age_counted_from`` (ns): what the ages of endpoints' copies are counted from, never earlier than
-    ``purged_at``; 0: from ``purged_at``.
+    ``age_counted_from`` (ns): the time that the ages of endpoints' copies are counted from, never earlier
+    than ``purged_at``; 0: ``purged_at``.
     """
 
     at: int
@@ -241,7 +241,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestTimerDue:
-    """The deadline of a request, whatever the router has made of it."""
+    """The deadline of a request, independent of the router's decisions."""
 
     at: int
     request: int
@@ -257,7 +257,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionTimerDue:
-    """A connection has had its time to open, or its idle time may be over."""
+    """The connect timeout of a connection, or a check of its idle timeout."""
 
     at: int
     connection: int
@@ -265,7 +265,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EventLoopLagged:
-    """Recent mean lateness (ns) of the process's own timers."""
+    """``lag``: the recent mean delay (ns) of the process's own timers."""
 
     at: int
     lag: int
@@ -273,7 +273,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ContractsUpdated:
-    """Other contracts are in force; None: there are none, and every request is admitted."""
+    """The contracts were replaced; None: there are none, and every request is admitted."""
 
     at: int
     contracts: Contracts | None
@@ -281,7 +281,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reconfigured:
-    """The configuration was reloaded. Its request classes are the same: what is in flight goes on."""
+    """The configuration was reloaded. Its request classes are the same, so requests in flight continue."""
 
     at: int
     settings: i.Settings
@@ -292,7 +292,7 @@
 class ShutdownStarted:
     """The process shuts down: all requests must be answered by ``deadline`` (ns).
 
-    ``rejects_new``: new requests are rejected from here on.
+    ``rejects_new``: new requests are rejected from now on.
     """
 
     at: int
@@ -301,7 +301,7 @@
 
 
 class ExtensionEvent:
-    """Base class of the events of an optional part; only that part knows what they mean."""
+    """Base class of the events of an optional part; only that part interprets them."""
 
     __slots__ = ()
     at: int
--- a/hallproxy/state/in_flight.py
+++ b/hallproxy/state/in_flight.py
@@ -8,15 +8,15 @@
 | | | none, and one may be opened | connecting |
 | | | endpoint or source not ready, no retry budget, too many connections | finished (NOT_SENT) |
 | connecting | ``written`` is false | ``ConnectionOpened`` | written |
-| | | the same, but what was checked at the start does not hold any more | finished (NOT_SENT) |
+| | | the same, but a check made at the start no longer passes | finished (NOT_SENT) |
 | | | ``ConnectionClosed`` | finished (CONNECT_FAILED) |
-| | | the same for want of descriptors | connecting, or finished (NOT_SENT) |
+| | | the same, for lack of file descriptors | connecting, or finished (NOT_SENT) |
 | | | ``AttemptTimerDue`` | finished (CONNECT_FAILED) |
 | written | ``written`` is true | ``ResponseReceived`` | finished (the result's status) |
 | | | ``ConnectionClosed`` | finished (RESET) |
-| | | the same, and nothing went out on it | connecting |
+| | | the same, with nothing sent on it | connecting |
 | | | ``AttemptTimerDue`` | finished (TIMEOUT) |
-| | | its endpoint's machine shows no sign of life | finished (RESET) |
+| | | its endpoint's machine does not respond | finished (RESET) |
 | connecting, written | | ``CancelAttempt`` of the router | finished (CANCELLED) |
 | finished | removed from the tables | | |
 
@@ -49,13 +49,13 @@
     Attributes:
         id: unique among all requests, attempts and connections.
         request_id: the id of its ``InFlightRequest``.
-        number: the router's number of it among the request's attempts.
-        action: what the router asked for.
-        started_at: ns; when the router asked for it.
+        number: the router's number for it among the request's attempts.
+        action: the router's action that started it.
+        started_at: ns; when the router started it.
         deadline: ns; when it times out.
-        endpoint_process, source_process: where it was to go when the router asked for it.
+        endpoint_process, source_process: the processes of its endpoint and source at ``started_at``.
         connection_id: the connection that carries it; 0: none yet.
-        written: whether its first byte may have gone out.
+        written: whether its first byte may have been sent.
         written_at: ns; when that was.
         validator: the validator of the local cache entry that it revalidates; empty: none.
         counted_by_broker: whether the broker was notified of its start.
@@ -87,11 +87,10 @@
         received_at: ns; when it was received.
         attempt_count: attempts so far, finished ones included.
         attempts: those in flight, by the router's number.
-        started: whether it has left the broker's queue: the router or the file cache has it.
+        started: whether it has left the broker's queue for the router or the file cache.
         answered: whether its response was sent, or its client has disconnected.
-        any_written: whether any attempt of it was written, also one that never left on a stale connection.
-        first_executed_at: ns; when the first of those finished attempts was written that may have executed;
-            0: there is none.
+        any_written: whether any of its attempts was written, even if the bytes never left a stale connection.
+        first_executed_at: ns; when the earliest finished attempt that may have executed was written; 0: none.
         failure_reason: how its last attempt failed.
     """
 
@@ -108,13 +107,13 @@
     failure_reason: FailureReason = FailureReason.NONE
 
     def time_left(self, now: int) -> int:
-        """Time (ns) until its deadline; negative behind it."""
+        """Time (ns) until its deadline; negative after it."""
         return self.received_at + self.request.time_left - now
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamConnection:
-    """A connection to one endpoint's process. It belongs to the endpoint's id: addresses are used again.
+    """A connection to one endpoint's process. It is tied to the endpoint's id, as addresses are reused.
 
     Attributes:
         id: unique among all requests, attempts and connections.
--- a/hallproxy/state/lifecycle.py
+++ b/hallproxy/state/lifecycle.py
@@ -1,4 +1,4 @@
-"""The steps in the life of every request: handed to the router, answered once, forgotten."""
+"""The lifecycle of every request: submitted to the router, answered once, removed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hallproxy.state.model import GatewayState
 from hallproxy.state.units import MS
 
-BUSY_RETRY_AFTER = 200 * MS  # advised when more is in flight than the gateway may hold
+BUSY_RETRY_AFTER = 200 * MS  # sent to clients when too many requests are in flight
 BUSY = Response(ResponseKind.REJECTED, retry_after=BUSY_RETRY_AFTER, reason=FailureReason.BUSY)
 OUTCOMES = {
     ResponseKind.SERVED: RequestOutcome.SERVED,
@@ -20,7 +20,7 @@
 
 
 def start(state: GatewayState, in_flight: InFlightRequest) -> None:
-    """The request has its slot: the file cache takes it, or the router."""
+    """Start a request that has its slot, in the file cache or else in the router."""
     if state.file_cache is not None and state.file_cache.lookup(in_flight):
         in_flight.started = True
     else:
@@ -28,7 +28,7 @@
 
 
 def submit(state: GatewayState, in_flight: InFlightRequest) -> None:
-    """Hand the request to the router."""
+    """Submit the request to the router."""
     request = in_flight.request
     in_flight.started = True
     state.pending_events.append(
@@ -48,23 +48,23 @@
 
 
 def respond(state: GatewayState, in_flight: InFlightRequest, response: Response) -> None:
-    """Send the final response. A second one is never sent, whoever asks for it."""
+    """Send the final response, unless the request is already answered."""
     if in_flight.answered:
         return
     in_flight.answered = True
-    # Its client may have disconnected, while others wait for the same bytes.
+    # The entry is missing if the client disconnected while others waited for the same bytes.
     state.awaiting_response.pop(in_flight.downstream, None)
     if state.broker is not None:
         size = response.size or len(response.body)
         outcome = OUTCOMES[response.kind]
         state.broker.release(in_flight.id, outcome, state.now, reason=response.reason, size=size)
     state.effects.append(SendResponse(in_flight.downstream, response))
-    forget_if_finished(state, in_flight)
+    remove_if_finished(state, in_flight)
     if state.file_cache is not None:
         state.file_cache.finished(in_flight, response)
 
 
-def forget_if_finished(state: GatewayState, in_flight: InFlightRequest) -> None:
+def remove_if_finished(state: GatewayState, in_flight: InFlightRequest) -> None:
     """Remove the request once it is answered and has no attempt in flight."""
     if in_flight.answered and not in_flight.attempts:
         state.requests.pop(in_flight.id, None)
--- a/hallproxy/state/limits.py
+++ b/hallproxy/state/limits.py
@@ -1,4 +1,4 @@
-"""How much of everything the gateway may hold, as its configuration allows."""
+"""The configured limits of the gateway's resources."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         unsent_bytes: bytes that all clients together may leave unread.
         idle_timeout: ns after which an idle connection to an endpoint is closed.
         local_cache_bytes: bytes of bodies in the local cache; 0: there is none.
-        negative_ttl: ns for which "not found" is remembered; 0: never.
+        negative_ttl: ns for which "not found" is cached; 0: never.
         transfer_bytes_s: bytes per second of one transfer from the local cache; 0: unknown.
         uplink_bytes_s: bytes per second of all such transfers together; 0: unknown.
     """
--- a/hallproxy/state/local_cache.py
+++ b/hallproxy/state/local_cache.py
@@ -10,7 +10,7 @@
 
 
 class CacheKey(NamedTuple):
-    """What a cached body is a body of: one part of an object, as one request class reads it."""
+    """Identifies a cached body: one part of an object, as one request class reads it."""
 
     class_index: int
     object: int
@@ -21,8 +21,8 @@
 class LocalCacheEntry:
     """A cached body. ``rank`` is the cache rank that the router gave it: 1 to 3, 3 is evicted last.
 
-    ``generated_at``: ns; when the origin generated it. ``validator``: the source's own name for this version,
-    to revalidate it by; empty: unknown.
+    ``generated_at``: ns; when the origin generated it. ``validator``: the source's own identifier of this
+    version, for revalidation; empty: unknown.
     """
 
     body: bytes
@@ -35,9 +35,9 @@
 
 @dataclass(slots=True)
 class Uplink:
-    """When the bytes of a local response will have left: each transfer at its rate, all on one link in order.
+    """Estimates when a local response will be sent: each transfer has its own rate, and all share one link.
 
-    Both rates are bytes per second; 0: unknown, and then every transfer is taken to end at once.
+    Both rates are bytes per second; 0: unknown, and then every transfer is assumed to end at once.
     """
 
     transfer_bytes_s: int = 0
@@ -62,13 +62,13 @@
 class LocalCache:
     """Entries by rank, in the order of their use, with an index of their keys by object and by group.
 
-    The index lets a purge look at its own entries alone. It has the entries' keys and no others; its memory
-    is not counted in ``cached_bytes``.
+    The index lets a purge visit only matching entries. It contains exactly the entries' keys; its memory is
+    not counted in ``cached_bytes``.
 
     Attributes:
         max_bytes: limit of ``cached_bytes``; 0: nothing is cached.
         cached_bytes: bytes of all bodies.
-        bytes_by_rank: the same by rank, lowest first: summing them up at each admission would cost too much.
+        bytes_by_rank: the same by rank, lowest first; kept because summing at each admission is too slow.
         ranks: the entries by rank, lowest first, least recently used first.
     """
 
@@ -99,14 +99,14 @@
         self._count(entry.rank - 1, size)
 
     def resize(self, max_bytes: int) -> None:
-        """Change the limit, and evict what does not fit any more."""
+        """Change the limit, and evict what no longer fits."""
         self.max_bytes = max_bytes
         for rank_index, rank in enumerate(self.ranks):
             while self.cached_bytes > max_bytes and rank:
                 self._evict(rank_index)
 
     def get(self, key: CacheKey) -> LocalCacheEntry | None:
-        """The entry, which counts as used now."""
+        """The entry, which becomes the most recently used one of its rank."""
         for rank in self.ranks:
             if key in rank:
                 rank.move_to_end(key)
--- a/hallproxy/state/model.py
+++ b/hallproxy/state/model.py
@@ -29,27 +29,28 @@
         router: the decision object.
         limits: the limits in force.
         local_cache: responses that are served without asking an endpoint.
-        uplink: when the bytes of local responses will have left.
+        uplink: estimates when a response from the local cache will be sent.
         served_locally: responses from the local cache so far.
-        watch_caught_up_at: when all changes of the change log were known; 0: there is no change log.
-        negative_cache: what sources do not have.
+        watch_caught_up_at: when all changes of the change log were last applied; 0: there is no change log.
+        negative_cache: what the sources recently reported as not found.
         serves_stale: whether stale entries stay in the local cache for their class's grace, to be revalidated
             and to be served on errors.
-        strict_purges: whether a response must be younger than a purge that came in while it was on its way.
+        strict_purges: whether a response is discarded if it was generated before a purge of its object, also
+            one that was received while the response was in transit.
         broker: admits and queues requests by their contracts; None: there are no contracts.
         file_cache: files on disk; None: there are none.
         endpoints: the endpoint list.
-        purges: what was purged, for as long as older copies may be about.
+        purges: what was purged, for as long as older copies may still exist.
         requests: requests in flight, by id.
-        request_ids: the clients' ids of them, where they have one.
-        awaiting_response: those whose response is not sent yet, by the front's handle.
+        request_ids: the clients' ids of the requests in flight.
+        awaiting_response: requests whose response is not sent yet, by the front's handle.
         attempts: attempts in flight by id, in the order they were started.
         connections: upstream connections by id.
-        last_heard_at: when each endpoint last gave a sign of life.
+        last_heard_at: when each endpoint last accepted a connection or sent a response.
         idle_connections: idle connections by endpoint, the longest idle first.
-        last_id: the last id given to a request, an attempt or a connection.
+        last_id: the last id assigned to a request, an attempt or a connection.
         now: the time of the latest event.
-        shutdown_deadline: when all must be answered, as the process ends then; 0: it is not shutting down.
+        shutdown_deadline: when all requests must be answered, as the process ends then; 0: not shutting down.
         rejects_new: whether new requests are rejected.
         pending_events: events that the router has yet to handle.
         effects: effects of the event that is being reduced.
@@ -88,7 +89,7 @@
         self.apply_limits(self.limits)
 
     def apply_limits(self, limits: Limits) -> None:
-        """Put other limits in force."""
+        """Apply new limits."""
         self.limits = limits
         self.local_cache.resize(limits.local_cache_bytes)
         self.negative_cache.ttl = limits.negative_ttl
@@ -105,7 +106,7 @@
         return self.settings.classes[request.class_index]
 
     def latency_objective(self, request: ClientRequest) -> int:
-        """The request's latency objective (ns), with its class's allowance for the time of its transfer."""
+        """The request's latency objective (ns), extended by its class's allowance for the transfer time."""
         cls = self.settings.classes[request.class_index]
         rate = self.settings.transfer_kb_s
         transfer_seconds = request.size_kb / rate if rate else 0.0
--- a/hallproxy/state/negative_cache.py
+++ b/hallproxy/state/negative_cache.py
@@ -1,4 +1,4 @@
-"""Negative cache: what the sources answered "not found" for, for a short time."""
+"""Negative cache: what the sources recently reported as not found."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class NegativeCacheEntry(NamedTuple):
-    """When (ns) the source was asked, and the object's purge group."""
+    """When (ns) the source was requested, and the object's purge group."""
 
     requested_at: int
     group: int
@@ -33,7 +33,7 @@
         return len(self._entries)
 
     def record(self, key: CacheKey, group: int, requested_at: int, purged_at: int) -> None:
-        """Record that a source asked at ``requested_at`` did not have it.
+        """Record that a source requested at ``requested_at`` (ns) did not have it.
 
         An object purged since (``purged_at``, ns) may exist by now, and is not recorded.
         """
@@ -55,7 +55,7 @@
         return entry is not None and now - entry.requested_at < self.ttl
 
     def purge(self, object_id: int, group: int, purged_at: int) -> None:
-        """Remove what was found before the purge of the object, or with object 0 of its whole group."""
+        """Remove what was requested before the purge of the object, or with object 0 of its whole group."""
         purged = [
             key
             for key, entry in self._entries.items()
--- a/hallproxy/state/ports.py
+++ b/hallproxy/state/ports.py
@@ -1,4 +1,4 @@
-"""What the reducer needs of parts that a gateway may be without. Those parts implement these protocols."""
+"""Protocols that optional parts of a gateway implement for the reducer."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 class FileCache(Protocol):
     """A cache of files on disk, for requests that name a digest.
 
-    It serves a request from its files, or lets requests for the same bytes wait for one fetch.
+    It serves a request from its files, or coalesces requests for the same bytes into one fetch.
     """
 
     def lookup(self, in_flight: InFlightRequest) -> bool:
-        """Whether the cache takes the request: it reads a file for it, or lets it wait for another's fetch.
+        """Read a file for the request, or let it wait for another request's fetch; false: neither.
 
-        If not, the caller hands the request to the router.
+        If neither, the caller submits the request to the router.
         """
         ...
 
     def downstream_closed(self, in_flight: InFlightRequest) -> bool:
-        """The request's client has disconnected; whether its fetch goes on for requests that wait for it."""
+        """Handle the client's disconnect; true: its fetch continues for requests that wait for it."""
         ...
 
     def finished(self, in_flight: InFlightRequest, response: Response) -> None:
-        """The request has its response, which also answers those that wait for its fetch."""
+        """Handle the request's response, which may also answer those that wait for its fetch."""
         ...
 
     def store(self, in_flight: InFlightRequest, body: bytes) -> None:
-        """A body was received that the router ranked for caching."""
+        """Store a received body that the router ranked for caching."""
         ...
 
     def adopt(self, result: AttemptResult) -> None:
-        """A result was received whose body the transport has stored as a file."""
+        """Add the file in which the transport has stored the result's body."""
         ...
 
     def discard(self, stored_file: str) -> None:
-        """The stored file must not be served."""
+        """Remove a stored file that must not be served."""
         ...
 
     def purge(self, object_id: int, group: int) -> None:
-        """The object was purged, or with object 0 its whole group."""
+        """Purge the object, or with object 0 its whole group."""
         ...
 
     def handle(self, event: ExtensionEvent) -> None:
-        """Take an event of the cache's own."""
+        """Handle one of the cache's own events."""
         ...
--- a/hallproxy/state/purges.py
+++ b/hallproxy/state/purges.py
@@ -1,4 +1,4 @@
-"""What was purged and when, for as long as an older copy may still be in a cache or on its way."""
+"""What was purged and when, for as long as an older copy may still be in a cache or in transit."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 MAX_PURGES = 8_192  # of objects, and as many of groups; beyond that the oldest raises the watermark
 FILL_HOPS = 2  # fills behind an endpoint: a parent fills it, and the origin fills the parent
-EXPIRED_PER_EVENT = 2  # looked at in each table for one event: more than the one purge that it may add
+EXPIRED_PER_EVENT = 2  # purges checked in each table per event: more than the one that an event may add
 CLOCK_ALLOWANCE = SECOND  # ns by which clocks may differ, as the router assumes
 
 
 class PurgeTimes(NamedTuple):
     """The times (ns) of a purge.
 
-    ``purged_at``: of the purge itself. ``age_counted_from``: what the ages of endpoints' copies are counted
-    from. ``expiry_counted_from``: when it was notified here, or ``age_counted_from`` where that is later.
+    ``purged_at``: of the purge itself. ``age_counted_from``: from when the ages of endpoints' copies are
+    counted. ``expiry_counted_from``: when this process was notified, or ``age_counted_from`` if later.
     """
 
     purged_at: int
@@ -33,7 +33,7 @@
 class Durations(NamedTuple):
     """The settings (ns) that a purge's expiry depends on.
 
-    ``purge_duration``: after it no cache has an older copy; 0: there is no such time.
+    ``purge_duration``: the time after which no cache has an older copy; 0: unbounded.
     """
 
     purge_duration: int
@@ -48,26 +48,26 @@
 class PurgeTable:
     """Purges by object and by group, and the purge watermark.
 
-    ``watermark`` stands for all purges that the full tables could not hold: it applies to every object.
-
-    A purge expires ``purge_duration``, the clock allowance and ``FILL_HOPS`` times the longest deadline after
-    the time that its expiry is counted from, once all attempts in flight were started later still. No older
-    copy can come in then:
-
-    - After ``purge_duration`` no endpoint, parent or cache on the way has one.
-    - What they sent just before may still fill others. Each fill is made for an attempt and ends with it, so
-      within the longest deadline. A fill that takes that long and is joined at its end makes two, from the
-      origin to a parent and from there to an endpoint. Not counted: a fill for one of the rare clients that
-      wait for several deadlines, and that takes as long.
-    - The last hop, from the endpoint to here, is the attempt's own. It is not bounded by a deadline, as the
-      response may lie unread for longer (a process that was stopped, a client with a longer deadline): a
-      purge is kept for as long as any attempt is in flight that was started before the fills ended.
-    - Local cache entries from before it were removed when it was notified (``LocalCache.purge``), stale ones
-      included, and none is added while it is kept. A revalidation (304) takes the bytes of such an entry, so
-      of one that was added after the purge.
-
-    Where ``purge_duration`` is 0 no purge expires. Other settings count from the reload: for as long as
-    something from before it may be in a cache, the longer of both durations apply.
+    ``watermark`` combines all purges that were evicted from the full tables: it applies to every object.
+
+    The retention of a purge is ``purge_duration``, the clock allowance and ``FILL_HOPS`` times the longest
+    deadline, counted from ``expiry_counted_from``. It expires after that, once all attempts in flight were
+    started later still. No older copy can be received then:
+
+    - After ``purge_duration`` no endpoint, parent or intermediate cache has one.
+    - What they sent just before may still fill others. Each fill is made for an attempt and ends with it,
+      within the longest deadline. A second fill may join one of that length at its end: the first is from the
+      origin to a parent, the second from there to an endpoint. Not covered: fills of several deadlines, for
+      one of the rare clients that wait that long.
+    - The last hop, from the endpoint to this process, is the attempt itself. No deadline bounds it, as the
+      response may stay unread for longer (a process that was stopped, a client with a longer deadline): a
+      purge is kept while any attempt is in flight that was started before the fills ended.
+    - Local cache entries from before the purge were removed when it was notified (``LocalCache.purge``),
+      stale ones included, and none is added while it is kept. A revalidation (304) takes its bytes from a
+      local entry, so from one that was added after the purge.
+
+    If ``purge_duration`` is 0, no purge expires. New settings apply from the reload: as long as a copy from
+    before it may still be cached, the longer of both durations apply.
     """
 
     objects: OrderedDict[int, PurgeTimes] = field(default_factory=OrderedDict)
@@ -82,7 +82,7 @@
     _oldest_attempt_at: int = 0  # ns; all attempts in flight were started then or later
 
     def configure(self, settings: i.Settings, now: int) -> None:
-        """Take the settings' durations, at the start or at a reload."""
+        """Apply the settings' durations, at the start or at a reload."""
         old = self._longer_durations if now < self._longer_until else self._durations
         longest_deadline = max((cls.deadline for cls in settings.classes), default=0)
         new = Durations(settings.purge_duration, longest_deadline)
@@ -104,7 +104,7 @@
         table[key] = _latest(times, table.pop(key, NEVER))
         while len(table) > self.max_entries:
             evicted = table.popitem(last=False)[1]
-            # Raised by an expired purge, the watermark would call good copies purged.
+            # An expired purge must not raise the watermark: valid copies would count as purged.
             if not self._is_expired(evicted):
                 self.watermark = _latest(self.watermark, evicted)
 
@@ -112,7 +112,7 @@
         """Remove expired purges, a few at a time.
 
         All attempts in flight were started at ``oldest_attempt_at`` (ns) or later. A purge whose own time is
-        still ahead of ``now`` (ns) goes behind the others, which expire before it.
+        still ahead of ``now`` (ns) moves to the end of its table, as the others expire before it.
         """
         self._oldest_attempt_at = oldest_attempt_at
         for table in (self.objects, self.groups):
--- a/hallproxy/state/reducer.py
+++ b/hallproxy/state/reducer.py
@@ -1,8 +1,8 @@
 """The one place where state changes: ``reduce(state, event) -> effects``.
 
 It uses no socket and no clock. The router decides about a request (which endpoint, which source, what cache
-rank, when to give up); here its actions become attempts, connections and responses, and their outcomes become
-its events.
+rank, when to give up). The reducer turns its actions into attempts, connections and responses, and reports
+their outcomes to it as events.
 """
 
 from __future__ import annotations
@@ -98,7 +98,7 @@
 
 
 def _reconfigured(state: GatewayState, event: Reconfigured) -> None:
-    """Put other settings and limits in force. What is in flight keeps its deadlines."""
+    """Apply new settings and limits. Requests in flight keep their deadlines."""
     state.settings = event.settings
     state.purges.configure(event.settings, state.now)
     state.apply_limits(event.limits)
--- a/hallproxy/state/requests.py
+++ b/hallproxy/state/requests.py
@@ -1,4 +1,4 @@
-"""What happens to requests: received, abandoned by their clients, timed out, given up by the router."""
+"""Handlers of request events: received, abandoned by the client, timed out, ended by the router."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def receive(state: GatewayState, event: RequestReceived) -> None:
-    """Take a client's request: answer it at once, queue it or start it."""
+    """Handle a client's request: answer it at once, queue it or start it."""
     response = _answer_or_open(state, event)
     if response is not None:
         state.effects.append(SendResponse(event.downstream, response))
@@ -38,7 +38,7 @@
     """The immediate response; None: the request is in flight now."""
     request, contract = event.request, None
     if state.rejects_new:
-        # The process is about to end. Nothing has executed, so the client may ask elsewhere at once.
+        # The process is about to end. Nothing has executed, so the client may retry elsewhere at once.
         return lifecycle.BUSY
     if state.shutdown_deadline:
         time_left = max(0, min(request.time_left, state.shutdown_deadline - state.now))
@@ -51,7 +51,7 @@
     if len(state.awaiting_response) >= state.limits.requests:
         return lifecycle.BUSY
     if request.request_id and request.request_id in state.request_ids:
-        # Ids are new with every request: endpoints would take the second request for the first.
+        # Ids must be unique: endpoints would mistake the second request for the first.
         return DUPLICATE_ID
     response = _local_response(state, request, contract)
     if response is not None:
@@ -102,11 +102,11 @@
     if state.broker is not None:
         state.broker.release(in_flight.id, RequestOutcome.DISCONNECTED, state.now)
     state.pending_events.append(i.ClientDisconnected(in_flight.id))
-    lifecycle.forget_if_finished(state, in_flight)
+    lifecycle.remove_if_finished(state, in_flight)
 
 
 def start_shutdown(state: GatewayState, event: ShutdownStarted) -> None:
-    """No request may be in flight when the process is killed, however long its client would wait."""
+    """Bound all requests by the shutdown deadline, so that none is in flight when the process is killed."""
     if not state.shutdown_deadline:
         for in_flight in state.awaiting_response.values():
             if in_flight.received_at + in_flight.request.time_left > event.deadline:
@@ -115,7 +115,7 @@
 
 
 def timer_due(state: GatewayState, event: RequestTimerDue) -> None:
-    """The request's deadline. The router always answers earlier, unless it failed on this request."""
+    """End the request at its deadline. The router always answers earlier, unless it failed on the request."""
     in_flight = state.requests.get(event.request)
     if in_flight is not None and not in_flight.answered:
         lifecycle.respond(state, in_flight, Response(ResponseKind.FAILED, reason=FailureReason.TIMEOUT))
@@ -133,15 +133,15 @@
 
 
 def _give_up(state: GatewayState, request_id: int, kind: ResponseKind, retry_after: int) -> None:
-    """Answer a request that the router gave up: from the local cache if that still serves it."""
+    """Answer a request that the router gave up, from the local cache if possible."""
     in_flight = state.requests.get(request_id)
     if in_flight is None or in_flight.answered:
         return
-    # An attempt in flight when the router gives up has run out of time; else the last one has the reason.
+    # With an attempt in flight the request has run out of time; else the last attempt has the reason.
     reason = FailureReason.TIMEOUT if in_flight.attempts else in_flight.failure_reason
     if reason is FailureReason.NONE:
         reason = FailureReason.BUSY
-    # That a source does not have it is no error: a stale entry must not hide it.
+    # "Not found" is not an error: a stale entry must not hide it.
     on_error = reason not in (FailureReason.NOT_FOUND, FailureReason.REPLACED)
     time_left = in_flight.time_left(state.now)
     local = caching.cached_response(state, in_flight.request, time_left, on_error=on_error)
--- a/hallproxy/state/units.py
+++ b/hallproxy/state/units.py
@@ -1,4 +1,4 @@
-"""Units of time and memory that the state's modules count in."""
+"""Units of time and memory that the state's modules use."""
 
 MS = 1_000_000  # ns
 SECOND = 1_000_000_000  # ns
