--- a/tests/state/test_local_cache.py
+++ b/tests/state/test_local_cache.py
@@ -148,12 +148,12 @@
 
 
 class CountedEntry(LocalCacheEntry):
-    """An entry that counts how often its time or group is read."""
+    """An entry that counts how often its ``generated_at`` or ``group`` is read."""
 
     reads = 0
 
     def __getattribute__(self, name: str) -> Any:
-        if name in ("born", "group"):
+        if name in ("generated_at", "group"):
             CountedEntry.reads += 1
         return super().__getattribute__(name)
 
