--- a/tests/routes/test_routes.py
+++ b/tests/routes/test_routes.py
@@ -37,7 +37,7 @@
     route = Routes((Rule(("a",), (("private",), ("mirror",), ("public",))),), UPSTREAMS).find("a")
     assert route.next_tier(0, not_found=True) == 1 and route.next_tier(1, not_found=True) == 2
     assert route.next_tier(2, not_found=True) is None
-    assert route.next_tier(0, not_found=False) is None  # failed, timed out or rejected: the walk ends
+    assert route.next_tier(0, not_found=False) is None  # failed, timed out or rejected: the search ends
 
 
 def test_each_tier_has_its_own_part_and_all_upstreams_have_the_default_one() -> None:
--- a/tests/state/test_admission.py
+++ b/tests/state/test_admission.py
@@ -14,12 +14,12 @@
 from hallproxy.state import attempts, effects, events
 from tests.support.reducer import MS, SECOND, ReducerHarness, response_kinds
 
-KEYED = 2  # the class of the test settings that carries a key
-PLAIN = 1
+KEYED = 2  # the class of the test settings whose requests have an idempotency key
+PLAIN = 1  # an idempotent class
 
 
 class ContractHarness(ReducerHarness):
-    """The reducer with contracts in force; ``responses`` are by downstream, one each."""
+    """The reducer with contracts in force. ``responses``: the one final response of each downstream."""
 
     def __init__(self, contracts: Sequence[Contract], teams: Sequence[Team] = (), stores: int = 1) -> None:
         super().__init__(stores)
@@ -30,41 +30,44 @@
         self.dispatch(events.ContractsUpdated(self.now, Contracts(tuple(contracts), tuple(teams))))
 
     def dispatch(self, event: events.Event) -> list[effects.Effect]:
-        done = super().dispatch(event)
-        for effect in done:
+        emitted = super().dispatch(event)
+        for effect in emitted:
             if isinstance(effect, effects.SendResponse):
                 assert effect.downstream not in self.responses, "a second final response"
                 self.responses[effect.downstream] = effect.response
-        return done
+        return emitted
 
-    def send(self, downstream: int, team: str, cls: int = PLAIN, **more: object) -> list[effects.Effect]:
+    def send(
+        self, downstream: int, team: str, cls: int = PLAIN, **request_fields: object
+    ) -> list[effects.Effect]:
         name = f"{downstream:016x}"
         request = events.ClientRequest(
             f"id-{downstream}", cls, 2 * SECOND, downstream, name, team=team, service="s"
         )
-        request = replace(request, **more)  # type: ignore[arg-type]
+        request = replace(request, **request_fields)  # type: ignore[arg-type]
         return self.connect(self.dispatch(events.RequestReceived(self.now, downstream, request)))
 
-    def connect(self, done: Sequence[effects.Effect]) -> list[effects.Effect]:
-        emitted = list(done)
-        for effect in done:
+    def connect(self, emitted: Sequence[effects.Effect]) -> list[effects.Effect]:
+        """Dispatch that the requested connections are open; return these effects and those that follow."""
+        all_emitted = list(emitted)
+        for effect in emitted:
             if isinstance(effect, effects.OpenConnection):
-                emitted += self.dispatch(events.ConnectionOpened(self.now, effect.connection))
-        return emitted
+                all_emitted += self.dispatch(events.ConnectionOpened(self.now, effect.connection))
+        return all_emitted
 
     def respond(self, status: i.AttemptStatus = i.AttemptStatus.OK, count: int = 1) -> list[effects.Effect]:
         """Dispatch the endpoints' responses to the oldest attempts in flight."""
-        done: list[effects.Effect] = []
+        emitted: list[effects.Effect] = []
         for attempt in list(self.state.attempts.values())[:count]:
             result = events.AttemptResult(status, b"x" * 10, generated_at=self.now)
-            done += self.connect(
+            emitted += self.connect(
                 self.dispatch(events.ResponseReceived(self.now, attempt.connection_id, result, True))
             )
-        return done
+        return emitted
 
 
-def sends(done: Sequence[effects.Effect]) -> list[effects.UpstreamRequest]:
-    return [e.request for e in done if isinstance(e, effects.SendRequest)]
+def sends(emitted: Sequence[effects.Effect]) -> list[effects.UpstreamRequest]:
+    return [e.request for e in emitted if isinstance(e, effects.SendRequest)]
 
 
 def test_a_queued_request_starts_on_a_free_slot_or_is_rejected_in_time() -> None:
@@ -95,19 +98,19 @@
         harness.send(n, "flood")
     rejected = [a for a in harness.responses.values() if a.reason is events.FailureReason.OVERLOADED]
     assert len(rejected) >= 150
-    emitted = len(harness.state.attempts)
+    attempts_before = len(harness.state.attempts)
     harness.send(2, "quiet")
-    assert len(harness.state.attempts) == emitted + 1
+    assert len(harness.state.attempts) == attempts_before + 1
 
 
 def test_an_empty_retry_budget_ends_the_request_with_its_last_reason() -> None:
-    """The router still decides: with budget the same failure is retried."""
+    """With a budget the router retries the same failure."""
     for share, retried in ((0.0, False), (1.0, True)):
         harness = ContractHarness([Contract("a", "s", retry_ratio=share)])
         harness.send(1, "a")
         harness.now += 20 * MS
-        done = harness.respond(i.AttemptStatus.ERROR)
-        assert bool(sends(done)) is retried
+        emitted = harness.respond(i.AttemptStatus.ERROR)
+        assert bool(sends(emitted)) is retried
         if not retried:
             assert harness.responses[1].kind is events.ResponseKind.REJECTED
             assert (
@@ -157,7 +160,7 @@
     assert sends(harness.send(3, "a", KEYED, idempotency_key="k", is_retry=True))
     harness.now += window
     assert not sends(harness.send(4, "a", KEYED, idempotency_key="k", is_retry=True))
-    # It may have executed before: a retry is not harmless, so it is no rejection.
+    # It may have executed before, so a retry is not safe and it fails instead of being rejected.
     assert (harness.responses[4].kind, harness.responses[4].reason) == (
         events.ResponseKind.FAILED,
         events.FailureReason.IDEMPOTENCY_KEY,
@@ -180,7 +183,7 @@
 
 
 def test_a_key_whose_window_ended_while_connecting_is_not_sent() -> None:
-    """The window counts when the first byte can be sent, not at the router's decision."""
+    """The window is checked when the first byte can be sent, not at the router's decision."""
     harness = ContractHarness([Contract("a", "s")])
     window = harness.state.settings.classes[KEYED].idempotency_window
     harness.send(1, "a", KEYED, idempotency_key="k")
@@ -260,18 +263,18 @@
 
 
 @pytest.mark.parametrize("reconnects", [False, True])
-def test_a_key_whose_attempt_never_left_counts_as_new(reconnects: bool) -> None:
-    """Guards against an idle connection that was found closed keeping the key of a request that never ran."""
+def test_a_key_whose_attempt_was_never_sent_counts_as_new(reconnects: bool) -> None:
+    """Guards against a key counted as used though its idle connection was closed and nothing was sent."""
     harness = ContractHarness([Contract("a", "s")])
     harness.send(1, "a")
     harness.respond()  # leaves an idle connection
     (connection_id,) = harness.state.connections
     harness.send(2, "a", KEYED, idempotency_key="k")
-    done = harness.dispatch(events.ConnectionClosed(harness.now, connection_id, unused=True))
-    (opened,) = (e.connection for e in done if isinstance(e, effects.OpenConnection))
+    emitted = harness.dispatch(events.ConnectionClosed(harness.now, connection_id, unused=True))
+    (opened,) = (e.connection for e in emitted if isinstance(e, effects.OpenConnection))
     if reconnects:
         harness.dispatch(events.ConnectionOpened(harness.now, opened))
-        while harness.state.attempts:  # further attempts, too
+        while harness.state.attempts:  # later attempts as well
             harness.respond(i.AttemptStatus.FULL)
     else:
         harness.dispatch(events.ConnectionClosed(harness.now, opened))
--- a/tests/state/test_local_cache.py
+++ b/tests/state/test_local_cache.py
@@ -1,4 +1,4 @@
-"""The local cache against a plain model of it, its index, and the uplink."""
+"""The local cache, compared with a model that has no index, and the uplink's estimates."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     assert cache.get(CacheKey(0, 2, 0))
     put(3, 1)
     assert cached_objects() == {1, 3} and cache.cached_bytes == 80
-    put(4, 1, 70)  # would have to push out rank 2
+    put(4, 1, 70)  # would have to evict rank 2
     assert cached_objects() == {1, 3}
     put(5, 3, 90)
     assert cached_objects() == {5} and cache.cached_bytes == 90
@@ -38,7 +38,7 @@
 
 
 def test_bytes_by_rank_are_the_sums_over_the_entries() -> None:
-    """They stand for the sums over all entries."""
+    """Guards against counters that drift from the entries after evictions, purges and a smaller limit."""
     cache = LocalCache(max_bytes=300)
     for n in range(200):
         cache.put(CacheKey(0, n * 7 % 40, 0), LocalCacheEntry(b"x" * (n % 90), "", n, n % 5, n % 4))
@@ -60,7 +60,7 @@
 
 
 class CacheModel:
-    """What ``LocalCache`` does, each operation by looking through all entries."""
+    """The behaviour of ``LocalCache``, with a scan of all entries in each operation."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
@@ -75,10 +75,10 @@
 
     def put(self, key: CacheKey, entry: LocalCacheEntry) -> None:
         self.drop(key)
-        size, cached_objects = len(entry.body), self.bytes_by_rank()
+        size, bytes_by_rank = len(entry.body), self.bytes_by_rank()
         if size > self.max_bytes or not 1 <= entry.rank <= 3:
             return
-        if self.max_bytes - sum(cached_objects) + sum(cached_objects[: entry.rank]) < size:
+        if self.max_bytes - sum(bytes_by_rank) + sum(bytes_by_rank[: entry.rank]) < size:
             return
         for rank in self.ranks[: entry.rank]:
             while rank and self.max_bytes - sum(self.bytes_by_rank()) < size:
@@ -139,9 +139,9 @@
         assert cache.bytes_by_rank == model.bytes_by_rank() and cache.cached_bytes == sum(
             model.bytes_by_rank()
         )
-        cached_objects = {key: entry for rank in model.ranks for key, entry in rank.items()}
-        by_object = [(key[1], key) for key in cached_objects]
-        by_group = [(entry.group, key) for key, entry in cached_objects.items()]
+        entries = {key: entry for rank in model.ranks for key, entry in rank.items()}
+        by_object = [(key[1], key) for key in entries]
+        by_group = [(entry.group, key) for key, entry in entries.items()]
         for index, expected in ((cache._by_object, by_object), (cache._by_group, by_group)):
             listed = [(index_key, key) for index_key, keys in index.items() for key in keys]
             assert all(index.values()) and sorted(listed) == sorted(expected)
@@ -173,5 +173,5 @@
     cache.purge(0, 3, 9)
     assert cache.cached_bytes == count - 2 - 5 and CountedEntry.reads <= 2 * 5
     CountedEntry.reads = 0
-    cache.purge(0, 4, 4)  # they are younger
+    cache.purge(0, 4, 4)  # the group's entries are younger
     assert cache.cached_bytes == count - 2 - 5 and CountedEntry.reads <= 5
--- a/tests/state/test_purges.py
+++ b/tests/state/test_purges.py
@@ -1,4 +1,4 @@
-"""Purges: how long they are kept, what the full table does, and that no older copy is served."""
+"""Purges: their retention, eviction from a full table, and that no older copy is served."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from hallproxy.wire.changelog import decode_events
 from tests.support.reducer import MS, SECOND, START, ReducerHarness, response_kinds
 
-RATE = 180  # purges a second at the operators' size
+RATE = 180  # purges per second at the operators' scale
 PURGE_DURATION, DEADLINE = 6 * SECOND, 10 * SECOND
-RETENTION = 27 * SECOND  # 6 + 1 + 2 x 10
+RETENTION = 27 * SECOND  # PURGE_DURATION + clock allowance + FILL_HOPS * DEADLINE: 6 + 1 + 2 x 10
 
 
 class PurgeHarness(ReducerHarness):
     """The reducer with a local cache and a known longest deadline; class 0 is always fresh."""
 
-    def __init__(self, done: int = PURGE_DURATION, **changed: Any) -> None:
-        super().__init__(stores=1, limits=Limits(local_cache_bytes=10**6), **changed)
-        self.reload(done)
+    def __init__(self, purge_duration: int = PURGE_DURATION, **state_fields: Any) -> None:
+        super().__init__(stores=1, limits=Limits(local_cache_bytes=10**6), **state_fields)
+        self.reload(purge_duration)
         self.downstreams = 0
 
-    def reload(self, done: int, deadline: int = DEADLINE) -> None:
+    def reload(self, purge_duration: int, deadline: int = DEADLINE) -> None:
         first, *rest = self.state.settings.classes
         classes = (replace(first, deadline=deadline), *(replace(c, deadline=SECOND) for c in rest))
-        settings = replace(self.state.settings, purge_duration=done, classes=classes)
+        settings = replace(self.state.settings, purge_duration=purge_duration, classes=classes)
         self.dispatch(events.Reconfigured(self.now, settings, self.state.limits))
 
     def purge(self, obj: int, group: int = 0, at: int | None = None, live: bool = True) -> None:
@@ -39,7 +39,7 @@
         self.dispatch(events.PurgeNotified(self.now, obj, group, at, max(self.now, at) if live else at))
 
     def tick(self) -> None:
-        """An event that changes nothing by itself."""
+        """Dispatch an event that changes nothing by itself, so that purges expire."""
         self.dispatch(events.WatchCaughtUp(self.now))
 
     def cache_entry(self, obj: int, generated_at: int, group: int = 0) -> None:
@@ -51,40 +51,42 @@
         """Request an object that is not cached; return the connection that its attempt was sent on."""
         self.downstreams += 1
         request = events.ClientRequest(f"n-{self.downstreams}", 0, DEADLINE, obj, f"{obj:x}", group=group)
-        done = self.dispatch(events.RequestReceived(self.now, self.downstreams, request))
-        assert not response_kinds(done)
+        emitted = self.dispatch(events.RequestReceived(self.now, self.downstreams, request))
+        assert not response_kinds(emitted)
         connection = next(
-            e.connection for e in done if isinstance(e, effects.OpenConnection | effects.SendRequest)
+            e.connection for e in emitted if isinstance(e, effects.OpenConnection | effects.SendRequest)
         )
-        if any(isinstance(e, effects.OpenConnection) for e in done):
+        if any(isinstance(e, effects.OpenConnection) for e in emitted):
             assert any(
                 isinstance(e, effects.SendRequest)
                 for e in self.dispatch(events.ConnectionOpened(self.now, connection))
             )
         return connection
 
-    def respond(self, connection: int, generated_at: int, **more: Any) -> list[effects.Effect]:
-        """Dispatch its response, which the router has ranked for caching."""
+    def respond(self, connection: int, generated_at: int, **response_fields: Any) -> list[effects.Effect]:
+        """Dispatch the response on a connection, as one that the router ranked for caching."""
         attempt = self.state.connections[connection].attempt
         assert attempt is not None
         attempt.action = replace(attempt.action, cache_rank=1)
         result = events.AttemptResult(
             i.AttemptStatus.OK, b"y", etag="t", generated_at=generated_at, validator="v"
         )
-        return self.dispatch(events.ResponseReceived(self.now, connection, replace(result, **more), True))
+        return self.dispatch(
+            events.ResponseReceived(self.now, connection, replace(result, **response_fields), True)
+        )
 
     def is_served_locally(self, obj: int, group: int = 0) -> bool:
-        """Whether a local entry is served; the watch is caught up."""
+        """Whether a request is answered from the local cache; the change log is caught up."""
         self.downstreams += 1
         request = events.ClientRequest(f"s-{self.downstreams}", 0, DEADLINE, obj, f"{obj:x}", group=group)
-        done = response_kinds(self.dispatch(events.RequestReceived(self.now, self.downstreams, request)))
-        if not done:
+        kinds = response_kinds(self.dispatch(events.RequestReceived(self.now, self.downstreams, request)))
+        if not kinds:
             self.dispatch(events.DownstreamClosed(self.now, self.downstreams))
-        return done == [events.ResponseKind.SERVED]
+        return kinds == [events.ResponseKind.SERVED]
 
 
 def test_an_entry_older_than_all_purges_is_served_if_its_object_was_not_purged() -> None:
-    """Unexpired purges fit into the table at the operators' rate, so they raise no watermark."""
+    """At the operators' rate all unexpired purges fit into the table, so none raises the watermark."""
     harness = PurgeHarness()
     harness.cache_entry(1, START)
     for n in range(20_000):
@@ -136,7 +138,7 @@
 
 
 def test_an_expired_purge_is_evicted_without_raising_the_watermark() -> None:
-    """More expire at once than one event removes."""
+    """More purges expire at once than one event removes."""
     harness = PurgeHarness()
     purges = harness.state.purges
     for obj in range(1, EXPIRED_PER_EVENT + 4):
@@ -146,12 +148,12 @@
     harness.purge(10)
     assert list(purges.objects) == [EXPIRED_PER_EVENT + 3, 10] and purges.watermark == NEVER
     purges.max_entries = 1
-    harness.purge(11)  # an unexpired one counts for every object
+    harness.purge(11)  # the evicted purge has not expired: the watermark applies it to every object
     assert list(purges.objects) == [11] and purges.watermark.purged_at == harness.now
 
 
-def test_a_purge_whose_own_time_is_ahead_holds_up_no_other() -> None:
-    """Guards against a table that fills up behind it, until its time counts for every object."""
+def test_a_purge_whose_own_time_is_ahead_does_not_delay_the_expiry_of_others() -> None:
+    """Guards against a table that fills up behind it, until the watermark applies it to every object."""
     harness = PurgeHarness()
     harness.cache_entry(1, START)
     purges, ahead = harness.state.purges, START + 10**6 * SECOND
@@ -161,7 +163,7 @@
         harness.purge(1_000 + n)
     assert len(purges.objects) <= RATE * RETENTION // SECOND + 3 and purges.watermark == NEVER
     assert harness.is_served_locally(1)
-    assert purges.purged_at(9, 0) == ahead  # it counts itself
+    assert purges.purged_at(9, 0) == ahead  # the purge itself still applies
     harness.now = ahead + RETENTION
     harness.tick()
     assert purges.purged_at(9, 0) == ahead
@@ -177,21 +179,21 @@
 def test_nothing_generated_before_a_purge_is_cached_until_it_expires(
     obj: int, group: int, ahead: int, live: bool
 ) -> None:
-    """Its own time may be behind or ahead, by another clock or as an old change: the later one counts."""
+    """A purge's own time may be behind or ahead (another clock, an old change): the later time counts."""
     harness = PurgeHarness()
     at = harness.now + ahead
     expiry_counted_from = max(harness.now, at)
     harness.purge(obj, group, at, live)
-    for passed, held in (
+    for elapsed, is_kept in (
         (PURGE_DURATION, True),
         (RETENTION - MS, True),
         (RETENTION, True),
         (RETENTION + 1, False),
     ):
-        harness.now = expiry_counted_from + passed
+        harness.now = expiry_counted_from + elapsed
         harness.tick()
-        assert bool(harness.state.purges.purged_at(1, 7)) is held
-        if held:
+        assert bool(harness.state.purges.purged_at(1, 7)) is is_kept
+        if is_kept:
             harness.respond(harness.send(1, 7), at)
             assert not harness.state.local_cache.cached_bytes
     harness.respond(harness.send(1, 7), harness.now)
@@ -203,7 +205,7 @@
 def test_a_response_from_before_a_purge_is_not_cached_however_late_it_is_read(
     strict: bool, old: bool
 ) -> None:
-    """A process that was stopped reads responses before its timers fire: the purge is kept for them."""
+    """A process that was stopped reads responses before its timers fire: the purge is kept for these."""
     harness = PurgeHarness(strict_purges=strict)
     if not old:
         harness.purge(1)
@@ -213,9 +215,9 @@
     if old:
         harness.purge(1)
     harness.now += 10 * RETENTION
-    done = harness.respond(connection, before)
+    emitted = harness.respond(connection, before)
     assert not harness.state.local_cache.cached_bytes
-    assert (events.ResponseKind.SERVED in response_kinds(done)) is not strict
+    assert (events.ResponseKind.SERVED in response_kinds(emitted)) is not strict
     harness.advance(DEADLINE)
     assert not harness.state.attempts
     harness.tick()
@@ -224,7 +226,7 @@
 
 @pytest.mark.parametrize("obj, group", [(1, 0), (0, 7)])
 def test_an_entry_from_before_a_purge_stays_removed_when_the_purge_expires(obj: int, group: int) -> None:
-    """Also a stale entry in its grace, and one that a 304 would revalidate."""
+    """Also a stale entry within its grace, and one that a 304 would revalidate."""
     harness = PurgeHarness(strict_purges=True, serves_stale=True)
     harness.cache_entry(1, harness.now, 7)
     harness.cache_entry(2, harness.now, 8)
@@ -269,12 +271,12 @@
     for n in range(10_000):
         harness.now = START + n * SECOND // RATE
         harness.purge(1_000 + n)
-    done = harness.respond(harness.send(1), START)
-    assert response_kinds(done) == [events.ResponseKind.SERVED]
+    emitted = harness.respond(harness.send(1), START)
+    assert response_kinds(emitted) == [events.ResponseKind.SERVED]
 
 
 def test_without_a_purge_duration_no_purge_expires() -> None:
-    harness = PurgeHarness(done=0)
+    harness = PurgeHarness(purge_duration=0)
     harness.purge(1)
     harness.purge(0, 7)
     harness.now += 10_000 * SECOND
@@ -292,18 +294,18 @@
 def test_reloaded_durations_apply_from_the_reload(before: tuple[int, int], after: tuple[int, int]) -> None:
     harness = PurgeHarness()
     harness.reload(before[0] * SECOND, before[1] * SECOND)
-    harness.now += 1_000 * SECOND  # durations from before that do not count any more
+    harness.now += 1_000 * SECOND  # earlier durations no longer apply
     harness.purge(1)
     notified_at = harness.now
     harness.now += SECOND
     harness.reload(after[0] * SECOND, after[1] * SECOND)
     harness.reload(after[0] * SECOND, after[1] * SECOND)
     longest = max(before[1], after[1])
-    held = (max(before[0], after[0]) + 1 + 2 * longest) * SECOND
-    harness.now = notified_at + held
+    retention = (max(before[0], after[0]) + 1 + 2 * longest) * SECOND
+    harness.now = notified_at + retention
     harness.tick()
     assert harness.state.purges.objects
-    harness.now += SECOND + 1  # at the latest, when as long has passed since the reload
+    harness.now += SECOND + 1  # it expires at the latest one retention after the reload
     harness.tick()
     assert not harness.state.purges.objects
     harness.purge(2)
@@ -328,9 +330,9 @@
     assert purges.purged_at(2, 0) == 20
 
 
-@pytest.mark.parametrize("connects", [False, True])
-def test_a_clock_ahead_of_the_endpoints_accepts_no_copy_from_before_a_purge(connects: bool) -> None:
-    """By a clock 2 s ahead a purge just made is 2 s old, and copies older than it would be accepted."""
+@pytest.mark.parametrize("while_connecting", [False, True])
+def test_a_clock_ahead_of_the_endpoints_accepts_no_copy_from_before_a_purge(while_connecting: bool) -> None:
+    """By a clock 2 s ahead a new purge appears 2 s old, and copies older than it would be accepted."""
     harness, obj, ahead = ReducerHarness(), 7, 2 * SECOND
     page = {"results": [{"seq": 1, "invalidate": {"object": f"{obj:x}", "time": (START - ahead) // MS}}]}
 
@@ -339,9 +341,9 @@
             assert isinstance(event, events.PurgeNotified)
             harness.dispatch(event)
 
-    notify() if not connects else None
+    notify() if not while_connecting else None
     opening = next(e for e in harness.request(1, obj) if isinstance(e, effects.OpenConnection))
-    notify() if connects else None
+    notify() if while_connecting else None
     harness.now += 300 * MS
     sent = harness.dispatch(events.ConnectionOpened(harness.now, opening.connection))
     upstream_request = next(e.request for e in sent if isinstance(e, effects.SendRequest))
--- a/tests/state/test_reducer.py
+++ b/tests/state/test_reducer.py
@@ -1,4 +1,4 @@
-"""The reducer: its handlers, one response for each request, and that everything stays bounded."""
+"""The reducer: its handlers, one response for each request, and that all tables stay bounded."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 def test_a_request_that_the_router_fails_on_still_gets_one_response() -> None:
     harness = ReducerHarness()
 
-    class Broken:
+    class FailingRouter:
         def handle(self, now: int, events: Sequence[i.Event]) -> list[i.Action]:
             raise RuntimeError("fault")
 
     working_router = harness.state.router
-    harness.state.router = Broken()  # type: ignore[assignment]
+    harness.state.router = FailingRouter()  # type: ignore[assignment]
     with pytest.raises(RuntimeError):
         harness.request(1)
     harness.state.router = working_router
@@ -37,19 +37,19 @@
     client_request = events.ClientRequest("id", 1, 2 * SECOND, 1, "1")
     in_flight = harness.state.awaiting_response[1]
     assert in_flight.request.time_left == client_request.time_left
-    done = harness.dispatch(events.RequestTimerDue(harness.now + 2 * SECOND, in_flight.id))
-    assert response_kinds(done) == [events.ResponseKind.FAILED] and not harness.state.requests
+    emitted = harness.dispatch(events.RequestTimerDue(harness.now + 2 * SECOND, in_flight.id))
+    assert response_kinds(emitted) == [events.ResponseKind.FAILED] and not harness.state.requests
 
 
 def test_connections_are_bounded_and_requests_without_one_are_answered() -> None:
     harness = ReducerHarness(limits=Limits(connections=2))
     opened = [e for n in range(5) for e in harness.request(n) if isinstance(e, effects.OpenConnection)]
     assert len(opened) == 2 and len(harness.state.connections) == 2
-    done = harness.advance(3 * SECOND)
+    emitted = harness.advance(3 * SECOND)
     assert (
         not harness.state.awaiting_response and not harness.state.requests and not harness.state.connections
     )
-    assert len(response_kinds(done)) <= 5
+    assert len(response_kinds(emitted)) <= 5
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
     )
     harness.dispatch(events.ConnectionOpened(harness.now, first))
     harness.now += 50 * MS
-    harness.request(2, class_index=class_index)  # on a new connection, which never comes up
+    harness.request(2, class_index=class_index)  # on a new connection, which never opens
     harness.advance(300 * MS)
     if sign_of_life:
         other = next(
@@ -75,9 +75,9 @@
             if isinstance(e, effects.OpenConnection)
         )
         harness.dispatch(events.ConnectionOpened(harness.now, other))
-    done = harness.advance(101 * MS)
-    assert (effects.CloseConnection(first) in done) is is_reset
-    assert 1 in harness.state.awaiting_response or response_kinds(done)
+    emitted = harness.advance(101 * MS)
+    assert (effects.CloseConnection(first) in emitted) is is_reset
+    assert 1 in harness.state.awaiting_response or response_kinds(emitted)
 
 
 def test_requests_in_flight_are_bounded() -> None:
@@ -101,8 +101,8 @@
             harness.dispatch(events.DownstreamClosed(harness.now, n))
         else:
             result = events.AttemptResult(i.AttemptStatus.OK, b"x")
-            done = harness.dispatch(events.ResponseReceived(harness.now, connection, result, n % 2 == 0))
-            assert response_kinds(done) == [events.ResponseKind.SERVED]
+            emitted = harness.dispatch(events.ResponseReceived(harness.now, connection, result, n % 2 == 0))
+            assert response_kinds(emitted) == [events.ResponseKind.SERVED]
             assert not response_kinds(
                 harness.dispatch(events.ResponseReceived(harness.now, connection, result, True))
             )
@@ -113,13 +113,13 @@
 
 
 def test_a_stale_watch_stops_local_responses() -> None:
-    """Guards against a purge that counts as told though it never arrived here."""
+    """Guards against a purge that counts as notified though it was never received."""
     harness = ReducerHarness()
     harness.state.local_cache.max_bytes = 100
     harness.state.local_cache.put(CacheKey(0, 1, 0), LocalCacheEntry(b"x", "", START, 0, 1))
-    for silence, served in ((0, True), (4 * SECOND, True), (6 * SECOND, False)):
+    for elapsed, served in ((0, True), (4 * SECOND, True), (6 * SECOND, False)):
         harness.dispatch(events.WatchCaughtUp(harness.now))
-        harness.now += silence
+        harness.now += elapsed
         assert bool(response_kinds(harness.request(1, class_index=0))) is served
     harness.dispatch(events.DownstreamClosed(harness.now, 1))
     harness.dispatch(events.WatchCaughtUp(harness.now))
@@ -127,12 +127,12 @@
 
 
 @pytest.mark.parametrize("last", list(i.EndpointState))
-def test_of_several_lines_of_one_endpoint_the_last_one_holds(last: i.EndpointState) -> None:
-    """Guards against a change that names an endpoint twice: the list was changed, the router not told."""
+def test_of_several_entries_of_one_endpoint_the_last_one_applies(last: i.EndpointState) -> None:
+    """Guards against a change that names an endpoint twice updating the list but not the router's."""
     harness = ReducerHarness(stores=1)
     gone = i.Endpoint(b"s-0", i.EndpointState.GONE)
-    lines = (gone, replace(gone, started_at=START), i.Endpoint(b"s-0", last, started_at=START))
-    change = i.EndpointsChanged(i.EndpointListKind.DELTA, lines)
+    entries = (gone, replace(gone, started_at=START), i.Endpoint(b"s-0", last, started_at=START))
+    change = i.EndpointsChanged(i.EndpointListKind.DELTA, entries)
     harness.dispatch(events.EndpointListUpdated(harness.now, change, ("a:1", "a:2", "a:3")))
     listed = [] if last is i.EndpointState.GONE else [b"s-0"]
     assert list(harness.state.endpoints.by_id) == list(harness.state.endpoints.processes) == listed
--- a/tests/state/test_small_bounds.py
+++ b/tests/state/test_small_bounds.py
@@ -1,7 +1,7 @@
 """Long random event streams through the reducer with every table and queue bounded to a few entries.
 
-So each eviction meets requests that are queued, connecting, sent or answered. The tables are checked after
-each event, and at the end every request has had one final answer and nothing is left.
+So evictions happen while requests are queued, connecting, sent or answered. The tables are checked after
+each event; at the end every request has had one final response and no state remains.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from hallproxy.state.limits import Limits
 from tests.support.reducer import MS, SECOND, ReducerHarness
 
-EVENTS = 3_000
+STEPS = 3_000
 STORES = 4
 TEAMS = 5
-NOT_IDEMPOTENT = 3  # the class of the test settings that may run only once
+NOT_IDEMPOTENT = 3  # the class of the test settings whose requests may execute only once
 LIMITS = Limits(
     connections=4, requests=8, local_cache_bytes=60, negative_ttl=SECOND // 2, idle_timeout=SECOND
 )
@@ -41,17 +41,17 @@
 STATUSES = [status for status in i.AttemptStatus if status is not i.AttemptStatus.NOT_SENT]
 
 
-class SmallGateway(ReducerHarness):
-    """The reducer over four stores whose answers, closes and list changes are drawn from one seed."""
+class BoundedGateway(ReducerHarness):
+    """The reducer over four stores, whose responses, closes and list changes are random from one seed."""
 
     def __init__(self, seed: int, has_contracts: bool, is_strict: bool) -> None:
         super().__init__(STORES, limits=LIMITS, strict_purges=is_strict, serves_stale=is_strict)
-        self.drawn = random.Random(seed)
+        self.rng = random.Random(seed)
         self.has_contracts = has_contracts
         self.downstreams = 0
-        self.final: Counter[int] = Counter()
-        self.written: dict[str, list[i.AttemptStatus | None]] = {}  # of a request id; None: no end yet
-        self.carries: dict[int, str] = {}  # connection -> the request id that was written on it
+        self.final_responses: Counter[int] = Counter()  # by downstream; a disconnect counts as one
+        self.written: dict[str, list[i.AttemptStatus | None]] = {}  # by request id; None: not ended
+        self.request_ids: dict[int, str] = {}  # connection -> the id of the request written on it
         self.state.purges.max_entries = 2
         self.state.negative_cache.max_entries = 2
         self.set_contracts()
@@ -67,24 +67,24 @@
         emitted = super().dispatch(event)
         for effect in emitted:
             if isinstance(effect, effects.SendResponse):
-                self.final[effect.downstream] += 1
-                assert self.final[effect.downstream] == 1, "a second final answer"
+                self.final_responses[effect.downstream] += 1
+                assert self.final_responses[effect.downstream] == 1, "a second final response"
             elif isinstance(effect, effects.SendRequest):
                 self.check_written(effect)
         self.check_tables()
         return emitted
 
     def check_written(self, sent: effects.SendRequest) -> None:
-        """A request that may run only once is written again only where it surely has not run."""
+        """A request that may execute only once is written again only if it provably has not executed."""
         request = sent.request
         before = self.written.setdefault(request.request_id, [])
         if request.class_index == NOT_IDEMPOTENT:
             assert all(status in i.PROVES_NOT_EXECUTED for status in before)
         before.append(None)
-        self.carries[sent.connection] = request.request_id
+        self.request_ids[sent.connection] = request.request_id
 
-    def ended(self, connection: int, status: i.AttemptStatus) -> None:
-        request_id = self.carries.pop(connection, None)
+    def record_end(self, connection: int, status: i.AttemptStatus) -> None:
+        request_id = self.request_ids.pop(connection, None)
         if request_id is not None:
             ends = self.written[request_id]
             ends[ends.index(None)] = status
@@ -128,37 +128,37 @@
             assert (usage.in_flight if usage else 0) == in_flight[contract.key]
         assert len(broker.idempotency_keys) <= 3
 
-    def play(self, count: int) -> None:
+    def run_steps(self, count: int) -> None:
         for _ in range(count):
-            self.now += int(self.drawn.expovariate(1.0) * 15 * MS)
+            self.now += int(self.rng.expovariate(1.0) * 15 * MS)
             self.advance(0)
             self.step()
 
     def step(self) -> None:
-        draw = self.drawn.random()
+        draw = self.rng.random()
         if draw < 0.40:
             self.send()
         elif draw < 0.50 and self.opening():
-            connection = self.drawn.choice(self.opening())
-            if self.drawn.random() < 0.8:
+            connection = self.rng.choice(self.opening())
+            if self.rng.random() < 0.8:
                 self.dispatch(events.ConnectionOpened(self.now, connection))
             else:
-                out = self.drawn.random() < 0.3
-                self.dispatch(events.ConnectionClosed(self.now, connection, out_of_descriptors=out))
+                no_descriptor = self.rng.random() < 0.3
+                self.dispatch(events.ConnectionClosed(self.now, connection, out_of_descriptors=no_descriptor))
         elif draw < 0.80 and self.state.connections:
-            self.respond(self.drawn.choice(list(self.state.connections)))
+            self.respond(self.rng.choice(list(self.state.connections)))
         elif draw < 0.86 and self.state.connections:
-            self.close(self.drawn.choice(list(self.state.connections)))
+            self.close(self.rng.choice(list(self.state.connections)))
         elif draw < 0.90 and self.state.awaiting_response:
-            self.leave(self.drawn.choice(list(self.state.awaiting_response)))
+            self.disconnect(self.rng.choice(list(self.state.awaiting_response)))
         elif draw < 0.95:
-            self.change_list()
+            self.change_endpoint_list()
         elif draw < 0.98:
-            obj = self.drawn.randrange(6)
-            at = self.now - self.drawn.randrange(100) * MS
-            self.dispatch(events.PurgeNotified(self.now, obj, self.drawn.randrange(3), at, self.now))
+            obj = self.rng.randrange(6)
+            at = self.now - self.rng.randrange(100) * MS
+            self.dispatch(events.PurgeNotified(self.now, obj, self.rng.randrange(3), at, self.now))
         elif draw < 0.99:
-            self.set_contracts(self.drawn.choice((CONTRACTS, FEWER_CONTRACTS, None)))
+            self.set_contracts(self.rng.choice((CONTRACTS, FEWER_CONTRACTS, None)))
         else:
             self.dispatch(events.WatchCaughtUp(self.now))
 
@@ -167,19 +167,19 @@
 
     def send(self) -> None:
         self.downstreams += 1
-        drawn, obj = self.drawn, self.drawn.randrange(1, 6)
-        cls = drawn.randrange(4)
+        rng, obj = self.rng, self.rng.randrange(1, 6)
+        cls = rng.randrange(4)
         request = events.ClientRequest(
             f"id-{self.downstreams}",
             cls,
-            drawn.choice((30 * MS, SECOND, 3 * SECOND)),
+            rng.choice((30 * MS, SECOND, 3 * SECOND)),
             obj,
             f"{obj:016x}",
             group=obj % 3,
-            size_kb=drawn.choice((0.0, 5.0, 300.0)),
+            size_kb=rng.choice((0.0, 5.0, 300.0)),
             is_write=cls >= 2,
-            idempotency_key=f"key-{drawn.randrange(5)}" if cls == 2 else "",
-            team=f"team-{drawn.randrange(TEAMS)}",
+            idempotency_key=f"key-{rng.randrange(5)}" if cls == 2 else "",
+            team=f"team-{rng.randrange(TEAMS)}",
             service="s",
         )
         self.dispatch(events.RequestReceived(self.now, self.downstreams, request))
@@ -187,51 +187,51 @@
     def respond(self, connection: int) -> None:
         if not self.state.connections[connection].is_open:
             return
-        status = self.drawn.choice(STATUSES if self.drawn.random() < 0.4 else [i.AttemptStatus.OK])
-        self.ended(connection, status)
+        status = self.rng.choice(STATUSES if self.rng.random() < 0.4 else [i.AttemptStatus.OK])
+        self.record_end(connection, status)
         reason = (
             events.FailureReason.NOT_FOUND if status is i.AttemptStatus.MISS else events.FailureReason.NONE
         )
         result = events.AttemptResult(
-            status, b"x" * self.drawn.randrange(40), generated_at=self.now - 5 * MS, reason=reason
+            status, b"x" * self.rng.randrange(40), generated_at=self.now - 5 * MS, reason=reason
         )
-        reusable = self.drawn.random() < 0.8
+        reusable = self.rng.random() < 0.8
         self.dispatch(events.ResponseReceived(self.now, connection, result, reusable))
 
     def close(self, connection: int) -> None:
-        unused = self.state.connections[connection].is_open and self.drawn.random() < 0.4
-        self.ended(connection, i.AttemptStatus.CONNECT_FAILED if unused else i.AttemptStatus.RESET)
+        unused = self.state.connections[connection].is_open and self.rng.random() < 0.4
+        self.record_end(connection, i.AttemptStatus.CONNECT_FAILED if unused else i.AttemptStatus.RESET)
         self.dispatch(events.ConnectionClosed(self.now, connection, unused=unused))
 
-    def leave(self, downstream: int) -> None:
-        self.final[downstream] += 1
+    def disconnect(self, downstream: int) -> None:
+        self.final_responses[downstream] += 1
         self.dispatch(events.DownstreamClosed(self.now, downstream))
 
-    def change_list(self) -> None:
-        """Lines of the list; now and then several of one endpoint in the same change."""
-        drawn = self.drawn
-        lines: list[i.Endpoint] = []
+    def change_endpoint_list(self) -> None:
+        """Change random entries of the endpoint list, sometimes several of one endpoint at once."""
+        rng = self.rng
+        entries: list[i.Endpoint] = []
         addresses: list[str] = []
-        for _ in range(drawn.choice((1, 1, 3))):
-            name = b"s-%d" % drawn.randrange(STORES)
+        for _ in range(rng.choice((1, 1, 3))):
+            name = b"s-%d" % rng.randrange(STORES)
             known = self.state.endpoints.by_id.get(name)
-            started_at = known.started_at if known is not None and drawn.random() < 0.5 else self.now
-            state = drawn.choice((i.EndpointState.READY, i.EndpointState.READY, *i.EndpointState))
-            lines.append(i.Endpoint(name, state, started_at=started_at))
-            addresses.append(drawn.choice(("a:1", "a:2")))
-        kind = drawn.choice((i.EndpointListKind.DELTA,) * 4 + (i.EndpointListKind.FULL,))
-        change = i.EndpointsChanged(kind, tuple(lines))
+            started_at = known.started_at if known is not None and rng.random() < 0.5 else self.now
+            state = rng.choice((i.EndpointState.READY, i.EndpointState.READY, *i.EndpointState))
+            entries.append(i.Endpoint(name, state, started_at=started_at))
+            addresses.append(rng.choice(("a:1", "a:2")))
+        kind = rng.choice((i.EndpointListKind.DELTA,) * 4 + (i.EndpointListKind.FULL,))
+        change = i.EndpointsChanged(kind, tuple(entries))
         self.dispatch(events.EndpointListUpdated(self.now, change, tuple(addresses)))
 
-    def finish(self) -> None:
-        """Shut down: everything is answered by the deadline, and what is left of it ends."""
+    def shut_down(self) -> None:
+        """Shut down: all requests are answered by the deadline, and then no state remains."""
         deadline = self.now + 2 * SECOND
         self.dispatch(events.ShutdownStarted(self.now, deadline, rejects_new=True))
         self.send()
         self.advance(2 * SECOND)
         assert not self.state.awaiting_response
-        assert set(range(1, self.downstreams + 1)) == self.final.keys()
-        assert set(self.final.values()) == {1}
+        assert set(range(1, self.downstreams + 1)) == self.final_responses.keys()
+        assert set(self.final_responses.values()) == {1}
         self.advance(20 * SECOND)
         assert not self.state.requests and not self.state.attempts and not self.state.connections
         assert not self.state.router.requests
@@ -243,11 +243,11 @@
 def test_each_request_is_answered_once_and_no_table_loses_what_is_in_use(
     seed: int, is_strict: bool, has_contracts: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against an eviction that drops what an open request, attempt or connection refers to."""
+    """Guards against evicting what a request, attempt or connection in flight refers to."""
     set_small_bounds(monkeypatch)
-    gateway = SmallGateway(seed, has_contracts, is_strict)
-    gateway.play(EVENTS)
-    gateway.finish()
+    gateway = BoundedGateway(seed, has_contracts, is_strict)
+    gateway.run_steps(STEPS)
+    gateway.shut_down()
 
 
 def set_small_bounds(monkeypatch: pytest.MonkeyPatch) -> None:
