--- a/hallproxy/state/caching.py
+++ b/hallproxy/state/caching.py
@@ -13,7 +13,7 @@
 
 AGE_MARGIN = 50 * MS  # an entry counts as stale this long before its freshness lifetime ends
 NOT_MODIFIED_DIVISOR = 20  # a "not modified" response counts as the body's bytes divided by this
-STALE_WATCH_AFTER = 5 * SECOND  # of silence: a purge counts as notified after 7 s, received or not
+STALE_WATCH_AFTER = 5 * SECOND  # change log silence; a purge counts as notified after 7 s, received or not
 
 
 def cached_response(
@@ -96,7 +96,7 @@
 
 
 def record_not_found(state: GatewayState, request: ClientRequest, requested_at: int) -> None:
-    """Record that a source did not have the requested part at ``requested_at`` (ns).
+    """Record that a source requested at ``requested_at`` (ns) does not have the part.
 
     Not recorded for bytes that are named by a digest: the index that named them is requested again.
     """
--- a/hallproxy/state/purges.py
+++ b/hallproxy/state/purges.py
@@ -48,7 +48,7 @@
 class PurgeTable:
     """Purges by object and by group, and the purge watermark.
 
-    ``watermark`` combines all purges that were evicted from the full tables: it applies to every object.
+    ``watermark`` combines the unexpired purges evicted from full tables: it applies to every object.
 
     The retention of a purge is ``purge_duration``, the clock allowance and ``FILL_HOPS`` times the longest
     deadline, counted from ``expiry_counted_from``. It expires after that, once all attempts in flight were
