--- a/hallproxy/adapter.py
+++ b/hallproxy/adapter.py
@@ -1,4 +1,4 @@
-"""Process loop on the simulator's wire: frames on standard input, replies on standard output."""
+"""Process loop of the simulator protocol: frames on standard input, replies on standard output."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 def _reply(batch: EventBatch, routers: dict[int, Router]) -> bytes:
-    """Every instance's actions, or the fault of the first instance whose decisions failed."""
+    """Encode every instance's actions, or the fault of the first instance whose decisions failed."""
     replies: list[InstanceActions] = []
     for group in batch.instances:
         try:
             actions = _run(routers, group.instance, batch.now, group.events)
         except (SettingsError, WireError):
             raise
-        except Exception as error:  # noqa: BLE001 - the simulator ends the day and shows this text
+        except Exception as error:  # noqa: BLE001 - the simulator ends its run and shows this text
             text = f"{type(error).__name__}: {error} (line {_line_of(error)})"
             return encode_fault(batch.number, group.instance, text)
         replies.append(InstanceActions(group.instance, actions))
@@ -46,15 +46,15 @@
 
 
 def _line_of(error: Exception) -> int:
-    """The line that raised it."""
-    where = error.__traceback__
-    while where is not None and where.tb_next is not None:
-        where = where.tb_next
-    return where.tb_lineno if where is not None else 0
+    """Return the number of the line that raised the error."""
+    traceback = error.__traceback__
+    while traceback is not None and traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    return traceback.tb_lineno if traceback is not None else 0
 
 
 def _run(routers: dict[int, Router], instance: int, now: int, events: Sequence[WireEvent]) -> list[Action]:
-    """One instance's share of a batch, cut where it is killed or begins anew."""
+    """Run one instance's events of a batch; those before its kill or restart are discarded."""
     pending: list[Event] = []
     actions: list[Action] = []
     router = routers.get(instance)
@@ -66,7 +66,7 @@
             router = routers[instance] = Router(event.settings, event.seed)
             pending, actions = [], []
         elif router is None:
-            raise WireError(f"an event for instance {instance}, which has not begun")
+            raise WireError(f"event for instance {instance}, which was not started")
         else:
             pending.append(event)
     if router is not None:
@@ -75,7 +75,7 @@
 
 
 def main() -> int:
-    """Run the loop; a malformed input ends it with one plain line and a status of 1."""
+    """Run the loop; malformed input ends it with one line on standard error and exit status 1."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, SettingsError) as error:
--- a/hallproxy/decisions/attempts.py
+++ b/hallproxy/decisions/attempts.py
@@ -1,4 +1,4 @@
-"""The start of an attempt: where it goes, what it asks for, and what it takes from the budgets."""
+"""The start of an attempt: its endpoints, its parameters, and its use of the budgets."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class AttemptStarter:
-    """Starts attempts, one at a time for a request but for hedges."""
+    """Starts attempts, one at a time per request except for hedges."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._idempotency = idempotency
 
     def start(self, entry: RoutedRequest, lookup_only: bool = False) -> bool:
-        """Start one attempt if a cache and a source are found; tell whether it was started."""
+        """Start one attempt if a usable endpoint is found; return whether it was started."""
         context = self._context
         if not self._queue.can_finish_in_time(entry):
             return False
@@ -69,9 +69,9 @@
         return True
 
     def start_lookup(self, entry: RoutedRequest) -> bool:
-        """Start an attempt for what a cache has cached, within a multiple of the concurrency limit.
+        """Start a lookup, within a multiple of the concurrency limit.
 
-        Departure from the design: so at the concurrency limit, where a fill would find no place.
+        Departure from the design: used at the concurrency limit, which leaves no slot for a fill.
         """
         if self._is_write(entry.request) or self._concurrency.is_at_limit(entry, LOOKUP_LIMIT_MULTIPLE):
             return False
@@ -80,7 +80,7 @@
     def _direct_source(
         self, entry: RoutedRequest, source: EndpointStatistics | None
     ) -> EndpointStatistics | None:
-        """Return the source that answers itself. Departure: only where allowed and no cache is usable."""
+        """Return the source if it may answer itself. Departure: only if allowed and no cache is usable."""
         if not self._context.settings.direct_to_source or source is None:
             return None
         return source if self._idempotency.may_run_at(entry, source) else None
@@ -107,7 +107,7 @@
         )
 
     def _track(self, entry: RoutedRequest, attempt: RoutedAttempt) -> None:
-        """Count the attempt at its endpoints and with its request."""
+        """Record the attempt at its endpoints and in its request."""
         endpoints = attempt.endpoints()
         self._slow_start.spend(endpoints, entry.request.class_index)
         for peer in endpoints:
--- a/hallproxy/decisions/context.py
+++ b/hallproxy/decisions/context.py
@@ -1,4 +1,4 @@
-"""What all rules of one decision share: the settings, the time, and the actions decided so far."""
+"""The state that all rules share: the settings, the time, and the actions decided so far."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, eq=False)
 class DecisionContext:
-    """The router's settings, its present time (ns) and the actions of the present call."""
+    """The router's settings, its current time (ns) and the actions of the current call."""
 
     settings: Settings
     zone_gateways: int  # gateways that share the zone, this one included
--- a/hallproxy/decisions/endpoint_statistics.py
+++ b/hallproxy/decisions/endpoint_statistics.py
@@ -18,7 +18,7 @@
     last_responded_at: int = 0  # ns
     ejected: bool = False
     next_health_check_at: int = 0  # ns; meaningful while ejected
-    in_flight: int = 0  # attempts in flight at it or filled from it
+    in_flight: int = 0  # attempts in flight that use it as cache or source
     overdue: int = 0  # attempts in flight at it that are overdue
     slow_start_budget: float = 0.0  # requests of the largest class that it may get while warming up
     budget_updated_at: int = 0  # ns
--- a/hallproxy/decisions/endpoints.py
+++ b/hallproxy/decisions/endpoints.py
@@ -1,4 +1,4 @@
-"""The table of the endpoint list: statistics by id, and the ready endpoints by their role."""
+"""The endpoint table: statistics by id, and the ready endpoints by their role."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
     PollEndpointList,
 )
 
-POLL_RETRY_INTERVAL = SECOND  # ns before a failed poll is repeated; up to as much again at random
-GOLDEN_RATIO = 0.6180339887  # its multiples lie evenly apart modulo 1, however many there are
+POLL_RETRY_INTERVAL = SECOND  # ns before a failed poll is repeated, plus random jitter up to as much again
+GOLDEN_RATIO = 0.6180339887  # its multiples are evenly spaced modulo 1, however many there are
 
 
 class EndpointTable:
-    """The endpoints that the list names, and what a change of the list does to them."""
+    """The listed endpoints; applies changes of the list."""
 
     def __init__(self, context: DecisionContext, seed: int) -> None:
         self._context = context
@@ -34,7 +34,7 @@
         self.poll_at = 0 if context.settings.polls_endpoint_list else NEVER  # ns
 
     def apply(self, change: EndpointsChanged) -> None:
-        """Take over a change of the list; a failed poll is repeated a little later."""
+        """Apply a change of the list; a failed poll is repeated later."""
         if change.kind is EndpointListKind.FAILED:
             self._repeat_poll()
             return
@@ -46,7 +46,7 @@
         self.assign_roles()
 
     def poll_if_due(self) -> None:
-        """Poll the list when its time has come."""
+        """Poll the list when the poll is due."""
         if self._context.now >= self.poll_at:
             self.poll_at = NEVER
             self._context.actions.append(PollEndpointList())
@@ -78,7 +78,7 @@
             self.poll_at = self._context.now + POLL_RETRY_INTERVAL + jitter
 
     def _update(self, endpoint: Endpoint) -> None:
-        """Take over one line of the list; a process that restarted starts with new statistics."""
+        """Apply one entry of the list; a process that restarted starts with new statistics."""
         known = self.by_id.get(endpoint.id)
         if endpoint.state is EndpointState.GONE:
             self.by_id.pop(endpoint.id, None)
@@ -88,7 +88,7 @@
             known.endpoint = endpoint
 
     def _new_statistics(self, endpoint: Endpoint) -> EndpointStatistics:
-        """Create statistics whose slow-start budget begins at a phase of its own for each gateway."""
+        """Create statistics whose slow-start budget starts at a phase that differs by gateway."""
         hash_seed = endpoint_hash(endpoint.id)
         phase = (self._context.settings.gateway_index * GOLDEN_RATIO + hash_seed / MASK_64) % 1.0
         return EndpointStatistics(
--- a/hallproxy/decisions/fill_shares.py
+++ b/hallproxy/decisions/fill_shares.py
@@ -1,9 +1,9 @@
-"""Which share of a zone's fills each parent gets.
+"""The share of a zone's fills that each parent gets.
 
 Departure from the design: the zones of a hub fill from the nearest parents up to those parents' share of all
 link capacity, and beyond that from the parents of the next hub. This guards a small parent against the load
-that a hash alone would give it, which each gateway notices too late; it costs longer ways. All gateways
-compute the same shares from the same list.
+that hashing alone would give it, which each gateway notices too late; it costs longer fill paths. All
+gateways compute the same shares from the same list.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from hallproxy.decisions.endpoint_statistics import EndpointStatistics
 from hallproxy.interface import Settings
 
-FILL_SHARE_MIN = 1e-6  # gateways' worth of traffic; what rounding leaves is no share
+FILL_SHARE_MIN = 1e-6  # gateways' worth of traffic; less than this is a rounding error
 
-Ring = dict[int, list[EndpointStatistics]]  # hub -> the parents that are so many steps away from it
+Ring = dict[int, list[EndpointStatistics]]  # hub -> the parents at one distance, in steps, from it
 
 
 def assign_fill_shares(
@@ -47,14 +47,14 @@
 
 
 def _rings(hubs: Sequence[int], parents: Sequence[EndpointStatistics]) -> list[Ring]:
-    """Group the parents by their steps from each hub, along the ring in which the hubs stand."""
+    """Group the parents by their distance from each hub, in steps along the ring of hubs."""
     count = len(hubs)
     rings: list[Ring] = [{hub: [] for hub in hubs} for _ in range(count // 2 + 1)]
     groups_by_zone = {
         zone: [rings[min((a - b) % count, (b - a) % count)][hub] for b, hub in enumerate(hubs)]
         for a, zone in enumerate(hubs)
     }
-    in_no_hub = rings[0].values()  # a parent whose zone is no hub is near to all
+    in_no_hub = rings[0].values()  # a parent whose zone is no hub has distance 0 to all
     for parent in parents:
         for group in groups_by_zone.get(parent.endpoint.zone, in_no_hub):
             group.append(parent)
@@ -67,7 +67,7 @@
     demand: dict[int, float],
     capacity: dict[EndpointStatistics, float],
 ) -> dict[EndpointStatistics, dict[int, float]]:
-    """Divide each hub's open demand among the ring's parents, by their free capacity."""
+    """Divide each hub's remaining demand among the ring's parents, by their free capacity."""
     requested: dict[EndpointStatistics, dict[int, float]] = {parent: {} for parent in parents}
     for hub, group in ring.items():
         group_capacity = sum(capacity[parent] for parent in group) or 1.0
@@ -82,7 +82,7 @@
     capacity: dict[EndpointStatistics, float],
     own_hub: int,
 ) -> None:
-    """Grant what each parent's free capacity allows, and take it off the demand and the capacity."""
+    """Grant what each parent's free capacity allows, and subtract it from demand and capacity."""
     for parent, by_hub in requested.items():
         total = sum(by_hub.values())
         granted_share = min(1.0, capacity[parent] / (total or 1.0))
--- a/hallproxy/decisions/idempotency.py
+++ b/hallproxy/decisions/idempotency.py
@@ -1,4 +1,4 @@
-"""Whether a request may run once more, or may be rejected, without an effect that happens twice."""
+"""Whether a request may run again, or may be rejected, without its effect happening twice."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         self._context = context
 
     def may_run_at(self, entry: RoutedRequest, peer: EndpointStatistics) -> bool:
-        """Tell whether the class allows one more attempt at this endpoint.
+        """Return whether the class allows one more attempt at this endpoint.
 
         A request with a key may run again only while the endpoints of the key's scope still remember it.
         """
@@ -33,7 +33,7 @@
         return _scope_of(execution.endpoint, scope) == _scope_of(peer.endpoint, scope)
 
     def may_reject(self, entry: RoutedRequest) -> bool:
-        """Tell whether a rejection is true: that the client may safely repeat the request."""
+        """Return whether a rejection is correct: the client may safely repeat the request."""
         request_class = self._context.settings.classes[entry.request.class_index]
         if request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
@@ -43,7 +43,7 @@
         return has_key and request_class.idempotency_scope is Scope.ALL
 
     def observe_end(self, entry: RoutedRequest, attempt: RoutedAttempt, status: AttemptStatus) -> None:
-        """Record that an attempt may have run, unless its status proves that it never did."""
+        """Record that an attempt may have run, unless its status proves that it did not."""
         if status not in PROVES_NOT_EXECUTED:
             self.observe_possible_execution(entry, attempt)
 
--- a/hallproxy/decisions/latency.py
+++ b/hallproxy/decisions/latency.py
@@ -1,4 +1,4 @@
-"""Times of answers: sending times of the classes, slowness of caches, first-byte times of sources."""
+"""Latency statistics: sending times of classes, slowness of caches, first-byte times of sources."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from hallproxy.interface import AttemptEnded, AttemptStatus, CacheStatus, FillDetail, Request
 
 FIRST_BYTE_SMOOTHING = 0.1  # weight of a new first-byte time
-FIRST_BYTE_DEFAULT = 0.1  # s, until any source was observed
+FIRST_BYTE_DEFAULT = 0.1  # s, until a source was observed
 SLOWNESS_SMOOTHING = 0.03  # weight of one answer in a cache's slowness
-RESPONSE_OVERHEAD = 0.05  # s added to a sending time, so that the way does not count for small objects
+RESPONSE_OVERHEAD = 0.05  # s added to a sending time, so that network latency does not dominate small objects
 TYPICAL_INTERVAL = 20 * MILLISECOND  # ns between two computations of the caches' median slowness
-SLOW_FROM = 1.5  # times the median slowness from which a cache's weight falls in proportion
+SLOW_MULTIPLE = 1.5  # multiple of the median slowness above which a cache's weight falls in proportion
 SENDING_TIME_DEFAULT = 0.1  # s, until one of the class is known
 SENDING_TIME_SMOOTHING = 0.02  # weight of one request's known sending time in its class's mean
-UNKNOWN_SIZE_SHORTER = 0.1  # weight in its class's sending time of an answer of unknown size, shorter ...
-UNKNOWN_SIZE_LONGER = 0.02  # ... or longer than it: a low expectile, as waits are in these times too
+UNKNOWN_SIZE_SMOOTHING_DOWN = 0.1  # weight in its class's mean of an answer of unknown size, faster ...
+UNKNOWN_SIZE_SMOOTHING_UP = 0.02  # ... or slower than it: a low expectile, as these times include waiting
 FILLED = (CacheStatus.FILLED, CacheStatus.FILLED_BY_ORIGIN)
 
 
 class LatencyStatistics:
-    """What answers took. Slowness is a time over the expected one: sending time and overhead."""
+    """Statistics of answer times. Slowness is an answer's time divided by its expected time."""
 
     def __init__(self, context: DecisionContext, endpoints: EndpointTable) -> None:
         self._context = context
@@ -35,14 +35,14 @@
         self._typical_at = 0  # ns
 
     def sending_time(self, request: Request) -> float:
-        """Return the seconds that sending takes at full pace; the class's mean where no size is known."""
+        """Return the seconds that sending takes at full rate; the class's mean where the size is unknown."""
         transfer_kb_s = self._context.settings.transfer_kb_s
         if request.size_kb > 0 and transfer_kb_s > 0:
             return request.size_kb / transfer_kb_s
         return self.class_sending_times[request.class_index] or SENDING_TIME_DEFAULT
 
     def expected_time(self, request: Request) -> float:
-        """Return the seconds that an answer takes where nothing is slow."""
+        """Return the seconds that an answer takes where nothing is slow: overhead and sending time."""
         return RESPONSE_OVERHEAD + self.sending_time(request)
 
     def observe_request(self, request: Request) -> float:
@@ -82,13 +82,13 @@
     def weight_factor(self, cache: EndpointStatistics) -> float:
         """Return the part of its placement weight that a slow cache keeps.
 
-        Departure from the design: acts past SLOW_FROM times the median. Guards against an overloaded or
-        ageing cache before anything times out; costs the refill of what moves to other caches.
+        Departure from the design: acts above SLOW_MULTIPLE times the median. Guards against an overloaded
+        or degrading cache before anything times out; costs the refill of what moves to other caches.
         """
-        return min(1.0, SLOW_FROM * self.typical_slowness / cache.slowness) if cache.slowness else 1.0
+        return min(1.0, SLOW_MULTIPLE * self.typical_slowness / cache.slowness) if cache.slowness else 1.0
 
     def update_typical_slowness(self) -> None:
-        """Compute the caches' median slowness anew when the interval is over."""
+        """Recompute the caches' median slowness when the interval has passed."""
         now = self._context.now
         if not self.typical_slowness or now - self._typical_at >= TYPICAL_INTERVAL:
             observed = sorted(p.slowness for p in self._endpoints.caches if p.slowness)
@@ -96,17 +96,17 @@
             self._typical_at = now
 
     def _observe_slowness(self, cache: EndpointStatistics, slowness: float) -> None:
-        """Smooth a cache's slowness; one answer counts as one for each gateway of the zone."""
+        """Smooth a cache's slowness; one answer stands for one at each gateway of the zone."""
         weight = 1 - (1 - SLOWNESS_SMOOTHING) ** self._context.zone_gateways
         cache.slowness = cache.slowness or self.typical_slowness or slowness
         cache.slowness += weight * (slowness - cache.slowness)
 
     def _observe_unknown_size(self, request: Request, latency: int) -> None:
         excess = latency / SECOND - self.class_sending_times[request.class_index]
-        weight = UNKNOWN_SIZE_SHORTER if excess < 0 else UNKNOWN_SIZE_LONGER
+        weight = UNKNOWN_SIZE_SMOOTHING_DOWN if excess < 0 else UNKNOWN_SIZE_SMOOTHING_UP
         self.class_sending_times[request.class_index] += weight * excess
 
     def _observe_first_byte(self, source: EndpointStatistics, first_byte_time: int) -> None:
-        """Smooth a source's first-byte time; it starts from the sources' mean, as a single one is chance."""
+        """Smooth a source's first-byte time; it starts from the sources' mean, as one value is noise."""
         source.first_byte_time = source.first_byte_time or self.first_byte_time() * SECOND
         source.first_byte_time += FIRST_BYTE_SMOOTHING * (first_byte_time - source.first_byte_time)
--- a/hallproxy/decisions/outliers.py
+++ b/hallproxy/decisions/outliers.py
@@ -1,4 +1,4 @@
-"""Failure shares of endpoints, ejection of outliers, and the health checks that bring them back."""
+"""Failure shares of endpoints, ejection of outliers, and the health checks that reinstate them."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from hallproxy.decisions.units import SECOND
 from hallproxy.interface import AttemptEnded, AttemptStatus, CacheStatus, FillDetail
 
-FAILURE_SMOOTHING = 0.15  # weight of one outcome in the smoothed failure share
-CONNECT_FAILURE_SMOOTHING = 0.2  # weight of a failed connect: two in a row eject
-RESET_SMOOTHING = 0.05  # weight of a broken connection: only many of them eject
+FAILURE_SMOOTHING = 0.15  # weight of one outcome in the failure share
+CONNECT_FAILURE_SMOOTHING = 0.2  # weight of a failed connect: two in a row eject an endpoint
+RESET_SMOOTHING = 0.05  # weight of a broken connection: only many of them eject an endpoint
 EJECT_ABOVE = 0.35  # failure share from which an endpoint is ejected ...
 EJECT_MULTIPLE = 2.0  # ... if it is this multiple of its peers' median: a shared cause ejects none
-UNEJECT_BELOW = 0.15  # failure share at which it is taken back
+UNEJECT_BELOW = 0.15  # failure share below which it is reinstated
 HEALTH_CHECK_INTERVAL = SECOND  # ns between the single requests that check an ejected endpoint
-SILENT_AFTER = 2 * SECOND  # ns without an answer after which an endpoint does not count as alive
+SILENT_AFTER = 2 * SECOND  # ns without an answer, after which an endpoint does not count as alive
 
 SOURCE_FAULTS = (
     CacheStatus.SOURCE_REFUSED,
@@ -37,9 +37,9 @@
         self._endpoints = endpoints
 
     def try_use(self, peer: EndpointStatistics) -> bool:
-        """Tell whether an endpoint may be chosen; an ejected one gets a health check now and then.
+        """Return whether an endpoint may be chosen; an ejected one gets a health check at each interval.
 
-        True for an ejected endpoint uses up its health check.
+        Returning True for an ejected endpoint uses up its health check.
         """
         now = self._context.now
         if peer.ejected and now < peer.next_health_check_at:
@@ -52,7 +52,7 @@
         if event.status is AttemptStatus.OK:
             self._observe_success(attempt, event)
         elif event.status is AttemptStatus.CONNECT_FAILED:
-            self._update(attempt.cache, 1.0, CONNECT_FAILURE_SMOOTHING)  # tells nothing about the source
+            self._update(attempt.cache, 1.0, CONNECT_FAILURE_SMOOTHING)  # says nothing about the source
         elif event.status is AttemptStatus.RESET:
             self._update(attempt.cache, 1.0, RESET_SMOOTHING)
         else:
@@ -77,13 +77,13 @@
         if status is AttemptStatus.ERROR:
             entry.error_count += 1
             if entry.error_count > 1:
-                return  # a second endpoint could not use it either: the request may be at fault
+                return  # a second endpoint failed as well: the request may be at fault
         self._update(cache, 1.0)
         if source is not cache and self._context.settings.fill_detail is not FillDetail.ALL:
-            self._update(source, 1.0)  # answers don't tell which of them failed; the medians do in time
+            self._update(source, 1.0)  # answers don't say which of them failed; the medians show it over time
 
     def _update(self, peer: EndpointStatistics, failure: float, smoothing: float = FAILURE_SMOOTHING) -> None:
-        """Smooth one outcome (1 for a failure) into the failure share; eject or take back."""
+        """Smooth one outcome (1 for a failure) into the failure share; eject or reinstate."""
         peer.failure_share += smoothing * (failure - peer.failure_share)
         if peer.ejected:
             if peer.failure_share < UNEJECT_BELOW:
@@ -96,7 +96,7 @@
             self._context.log("outliers", f"ejected {name} (failure share {peer.failure_share:.2f})")
 
     def _is_outlier(self, peer: EndpointStatistics) -> bool:
-        """Tell whether others of its role are alive and fail much less."""
+        """Return whether others of its role are alive and fail much less."""
         is_cache = peer in self._endpoints.caches
         same_role = self._endpoints.caches if is_cache else self._endpoints.sources()
         others = [p for p in same_role if p is not peer and not p.ejected]
@@ -106,7 +106,7 @@
         return peer.failure_share >= EJECT_MULTIPLE * others[len(others) // 2].failure_share
 
     def _any_alive(self, peers: Sequence[EndpointStatistics], untried_counts: bool) -> bool:
-        """Tell whether one of them answered lately; a source that was never tried may well be alive."""
+        """Return whether one of them answered recently; a source that was never tried may be alive."""
         silent_since = self._context.now - SILENT_AFTER
         return any(
             p.last_responded_at > silent_since
--- a/hallproxy/decisions/placement.py
+++ b/hallproxy/decisions/placement.py
@@ -13,12 +13,12 @@
 from hallproxy.decisions.slow_start import SlowStart
 from hallproxy.interface import EndpointId
 
-BOUNDED_LOAD_MULTIPLE = 1.5  # times the zone's mean of attempts in flight that a cache may have ...
-BOUNDED_LOAD_SLACK = 3.0  # ... and this many attempts more, so that at low load the hash alone decides
-FIRST_BYTE_MULTIPLE_MAX = 2.0  # times a tier's lowest first-byte time up to which a source gets fills
-WEIGHT_MIN = 1e-6
+BOUNDED_LOAD_MULTIPLE = 1.5  # multiple of the zone's mean of attempts in flight that a cache may have ...
+BOUNDED_LOAD_SLACK = 3.0  # ... plus this many attempts, so that at low load the hash alone decides
+FIRST_BYTE_MULTIPLE_MAX = 2.0  # multiple of a tier's lowest first-byte time up to which a source gets fills
+WEIGHT_MIN = 1e-6  # of a cache, as the rendezvous distance divides by it
 
-Candidate = tuple[int, float, EndpointId, EndpointStatistics]  # sort key: class, distance, id; the endpoint
+Candidate = tuple[int, float, EndpointId, EndpointStatistics]  # sort key: rank, distance, id; the endpoint
 
 
 class Placement:
@@ -39,10 +39,10 @@
         self._idempotency = IdempotencyRule(context)
 
     def choose_cache(self, entry: RoutedRequest) -> EndpointStatistics | None:
-        """Return the first usable cache in the part's hash order, or one past its bound, or none.
+        """Return the first usable cache in the part's hash order, else one at its load bound, else None.
 
-        Departure from the design: the next cache in the order is chosen past the load bound. Guards any cache
-        that gathers attempts, as for one part that all request at once; costs a second fill of a part.
+        Departure from the design: a cache at its load bound is skipped for the next one in the order. Guards
+        against a hot spot, as when all clients request one part at once; costs a second fill of that part.
         """
         candidates = self._ranked_caches(entry)
         bound = self._load_bound()
@@ -59,9 +59,9 @@
         return fallback
 
     def choose_source(self, entry: RoutedRequest) -> EndpointStatistics | None:
-        """Return a fill source: a parent by hash and fill share, past those the origin; or none.
+        """Return a fill source: a parent by hash and fill share, else the origin, else None.
 
-        Sources that the request has not tried come first.
+        Sources that the request has not tried are preferred.
         """
         candidates = self._ranked_sources(entry)
         for *_, source in candidates:
@@ -94,9 +94,9 @@
         for tier_number, tier in enumerate(self._endpoints.source_tiers, 1):
             usable = [source for source in tier if may_attempt(source, sending_time)]
             observed = [source.first_byte_time for source in usable if source.first_byte_time]
-            longest = FIRST_BYTE_MULTIPLE_MAX * min(observed, default=0.0)
+            first_byte_limit = FIRST_BYTE_MULTIPLE_MAX * min(observed, default=0.0)
             for source in usable:
-                if source.first_byte_time <= longest:
+                if source.first_byte_time <= first_byte_limit:
                     share = source.fill_share
                     distance = rendezvous_distance(source.hash_seed, entry.placement_hash, share or 1.0)
                     candidates.append((0 if share else tier_number, distance, source.endpoint.id, source))
@@ -104,7 +104,7 @@
         return candidates
 
     def _load_bound(self) -> float:
-        """Return the number of attempts in flight from which a cache takes no more of them."""
+        """Return the number of attempts in flight at which a cache is at its load bound."""
         caches = self._endpoints.caches
         in_flight = sum([cache.in_flight for cache in caches])
         return BOUNDED_LOAD_MULTIPLE * in_flight / max(1, len(caches)) + BOUNDED_LOAD_SLACK
--- a/hallproxy/decisions/purges.py
+++ b/hallproxy/decisions/purges.py
@@ -1,4 +1,4 @@
-"""Purges that may not have reached every cache yet, and the age limit that each puts on a copy."""
+"""Purges that may not have reached every cache yet, and the age limits that they put on copies."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from hallproxy.decisions.units import MILLISECOND, SECOND
 from hallproxy.interface import ObjectPurged, Request
 
-PURGES_MAX = 4096  # purges in a table; beyond it the oldest becomes an age limit for everything
-EXPIRY_MARGIN = SECOND  # ns that a purge is remembered past the settings' purge duration
+PURGES_MAX = 4096  # purges in a table; above it the oldest becomes an age limit for all objects
+EXPIRY_MARGIN = SECOND  # ns for which a purge is remembered beyond the settings' purge duration
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,10 +31,10 @@
         self._context = context
         self.objects: OrderedDict[int, Purge] = OrderedDict()
         self.groups: OrderedDict[int, Purge] = OrderedDict()
-        self.watermark = NO_PURGE  # for everything, once a table overflowed
+        self.watermark = NO_PURGE  # applies to all objects, once a table has overflowed
 
     def add(self, event: ObjectPurged) -> None:
-        """Remember a purge, and forget expired ones."""
+        """Add a purge, and drop expired ones."""
         context = self._context
         purged_at = max(1, context.now - event.age)
         expires_at = context.now + context.settings.purge_duration + EXPIRY_MARGIN
@@ -48,7 +48,7 @@
         self._evict(table)
 
     def age_limit(self, request: Request) -> int:
-        """Return the age (ns) of the oldest copy that will do: the time since the purge; 0 for no limit."""
+        """Return the maximum age (ns) of a usable copy: the time since the purge; 0 for no limit."""
         context = self._context
         purged_at = 0
         for purge in (
@@ -75,5 +75,5 @@
                     max(self.watermark.purged_at, oldest.purged_at),
                     max(self.watermark.expires_at, oldest.expires_at),
                 )
-                self._context.log("purges", "table full, an age limit holds for everything")
+                self._context.log("purges", "purge table full; an age limit applies to all objects")
             del table[key]
--- a/hallproxy/decisions/queueing.py
+++ b/hallproxy/decisions/queueing.py
@@ -1,4 +1,4 @@
-"""Requests that wait for an endpoint, and the deadlines at which requests get their final answer."""
+"""Requests queued for an endpoint, and the deadlines by which requests get their final answer."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from hallproxy.decisions.requests import RoutedRequest
 from hallproxy.decisions.units import MILLISECOND, NEVER, SECOND
 
-RESPONSE_TIME_MIN = 2 * MILLISECOND  # ns past the sending time; with less time left no attempt is started
+RESPONSE_TIME_MIN = 2 * MILLISECOND  # ns beyond the sending time; with less remaining no attempt is started
 QUEUE_TIME_MAX = 500 * MILLISECOND  # ns that a request waits for a usable endpoint
-QUEUE_CHECK_INTERVAL = 50 * MILLISECOND  # ns between two looks at queued requests
+QUEUE_CHECK_INTERVAL = 50 * MILLISECOND  # ns between two checks of queued requests
 
 
 class RequestQueue:
@@ -32,11 +32,11 @@
         self.deadlines: list[tuple[int, int]] = []  # a heap of (ns, request id)
 
     def add_deadline(self, entry: RoutedRequest) -> None:
-        """Plan the last moment for a request's answer."""
+        """Schedule the deadline of a request's answer."""
         heapq.heappush(self.deadlines, (entry.deadline, entry.request.id))
 
     def enqueue(self, entry: RoutedRequest) -> None:
-        """Let a request wait a little for an endpoint; then it gets its final answer."""
+        """Queue a request for an endpoint, for a limited time; then it gets its final answer."""
         self.queued.append(entry.request.id)
         now = self._context.now
         sending_time = int(self._latency.sending_time(entry.request) * SECOND)
@@ -45,7 +45,7 @@
         heapq.heappush(self.deadlines, (until, entry.request.id))
 
     def can_finish_in_time(self, entry: RoutedRequest) -> bool:
-        """Tell whether the bytes could arrive before the client disconnects."""
+        """Return whether the bytes could arrive before the client disconnects."""
         request, transfer_kb_s = entry.request, self._context.settings.transfer_kb_s
         sending_time = 0  # ns
         if request.size_kb > 0 and transfer_kb_s > 0 and not request.is_write:
@@ -53,18 +53,18 @@
         return entry.deadline - self._context.now >= sending_time + RESPONSE_TIME_MIN
 
     def waiting(self) -> list[RoutedRequest]:
-        """Return the requests that still wait, the highest value density first."""
+        """Return the requests that are still queued, highest value density first."""
         entries = map(self._requests.get, self.queued)
         waiting = [e for e in entries if e is not None and not e.finished and not e.attempts]
         waiting.sort(key=lambda e: -e.value_density)
         return waiting
 
     def replace(self, entries: Iterable[RoutedRequest]) -> None:
-        """Let these requests, and no others, be queued."""
+        """Replace the queued requests by these."""
         self.queued = deque(entry.request.id for entry in entries)
 
     def expired(self) -> Iterator[RoutedRequest]:
-        """Yield the requests whose time is up and which no answer is on its way to."""
+        """Yield the requests whose time has expired; past their queue time only those without an attempt."""
         now = self._context.now
         while self.deadlines and self.deadlines[0][0] <= now:
             entry = self._requests.get(heapq.heappop(self.deadlines)[1])
@@ -74,10 +74,10 @@
                 yield entry
 
     def next_check_at(self) -> int:
-        """Return the time (ns) at which the queued requests are looked at again."""
+        """Return the time (ns) at which the queued requests are checked again."""
         return self._context.now + QUEUE_CHECK_INTERVAL if self.queued else NEVER
 
     def is_finished(self, request_id: int) -> bool:
-        """Tell whether a request needs no answer any more."""
+        """Return whether a request needs no further answer."""
         entry = self._requests.get(request_id)
         return entry is None or entry.finished
--- a/hallproxy/decisions/recent_values.py
+++ b/hallproxy/decisions/recent_values.py
@@ -1,4 +1,4 @@
-"""A sliding window of values, in which a new value is placed by its rank."""
+"""A sliding window of values, among which a new value is ranked."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 
 RECENT_VALUES_MAX = 512  # values in the window
-RECENT_VALUES_MIN = 8  # values under which a rank says nothing
-RANK_UNKNOWN = 0.5
+RECENT_VALUES_MIN = 8  # values; with fewer a rank is not significant
+RANK_UNKNOWN = 0.5  # rank while there are fewer values
 
 
 @dataclass(slots=True, eq=False)
@@ -19,14 +19,14 @@
     ordered: list[float] = field(default_factory=list)
 
     def add(self, value: float) -> None:
-        """Add a value; the oldest leaves a full window."""
+        """Add a value; a full window drops its oldest."""
         self.recent.append(value)
         insort(self.ordered, value)
         if len(self.recent) > RECENT_VALUES_MAX:
             del self.ordered[bisect_left(self.ordered, self.recent.popleft())]
 
     def rank_of(self, value: float) -> float:
-        """Rank of a value from 0 (under all) to 1; the middle while there are few to compare with."""
+        """Return a value's rank, from 0 (below all) to 1; RANK_UNKNOWN while there are too few values."""
         if len(self.ordered) < RECENT_VALUES_MIN:
             return RANK_UNKNOWN
         below = bisect_left(self.ordered, value) + bisect_right(self.ordered, value)
--- a/hallproxy/decisions/requests.py
+++ b/hallproxy/decisions/requests.py
@@ -10,12 +10,12 @@
 
 @dataclass(slots=True, eq=False)
 class RoutedAttempt:
-    """One attempt at a cache, which fills a miss from a source; both are the same where none fills."""
+    """One attempt at a cache, which fills a miss from a source; both are the same if nothing is filled."""
 
     cache: EndpointStatistics
     source: EndpointStatistics
     started_at: int  # ns
-    cache_is_tried: bool = True  # counts among what its request has tried
+    cache_is_tried: bool = True  # counts as tried by the request
     source_is_tried: bool = True
 
     def endpoints(self) -> tuple[EndpointStatistics, ...]:
@@ -37,8 +37,8 @@
 
     request: Request
     arrived_at: int  # ns
-    deadline: int  # ns; the last moment for an answer
-    objective_at: int  # ns; the latency objective: the last moment for the full value
+    deadline: int  # ns; latest time for an answer
+    objective_at: int  # ns; the latency objective: latest time for the full value
     placement_hash: int
     value_density: float  # priority weight for each second of sending
     cache_gain: float = 0.0
@@ -51,20 +51,20 @@
     retried_after_reset: bool = False  # its cache got a second attempt after a broken connection
     finished: bool = False
     streaming: bool = False
-    lookup_only: bool = False  # the attempt in flight asks only for what the cache has
+    lookup_only: bool = False  # the attempt in flight is a lookup
 
     def mark_cache_untried(self, attempt: RoutedAttempt) -> None:
-        """Let the attempt's cache not count as tried for this attempt; the second time changes nothing."""
+        """Stop counting the attempt's cache as tried for this attempt; repeated calls change nothing."""
         if attempt.cache_is_tried:
             attempt.cache_is_tried = False
             self.tried_caches.remove(attempt.cache)
 
     def mark_source_untried(self, attempt: RoutedAttempt) -> None:
-        """Let the attempt's source not count as tried for this attempt; the second time changes nothing."""
+        """Stop counting the attempt's source as tried for this attempt; repeated calls change nothing."""
         if attempt.source_is_tried:
             attempt.source_is_tried = False
             self.tried_sources.remove(attempt.source)
 
     def timed_out_before_objective(self, event: AttemptEnded) -> bool:
-        """Tell whether its client disconnected before an answer could have been late."""
+        """Return whether the client disconnected before an answer could have been late."""
         return event.status is AttemptStatus.TIMEOUT and event.latency < self.objective_at - self.arrived_at
--- a/hallproxy/decisions/router.py
+++ b/hallproxy/decisions/router.py
@@ -1,4 +1,4 @@
-"""The router: the order in which the rules of this package decide on one batch of events."""
+"""The router: applies the rules of this package, in order, to one batch of events."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 from hallproxy.decisions.units import MILLISECOND, SECOND
 from hallproxy.decisions.valuation import Valuation, value_density
 
-RETRY_AFTER = 200 * MILLISECOND  # ns of advice in a rejection
-RESPONSE_MARGIN = MILLISECOND  # ns before the client disconnects at which it gets its answer, at the least
+RETRY_AFTER = 200 * MILLISECOND  # ns; retry-after time in a rejection
+RESPONSE_MARGIN = MILLISECOND  # ns; minimum time between the last possible answer and the client's disconnect
 
-NOT_TRIED = (i.AttemptStatus.NOT_SENT, i.AttemptStatus.CANCELLED)  # these tell nothing of endpoints
+NOT_TRIED = (i.AttemptStatus.NOT_SENT, i.AttemptStatus.CANCELLED)  # these say nothing about endpoints
 SOURCE_NOT_TRIED = (i.AttemptStatus.FULL, i.AttemptStatus.CONNECT_FAILED, i.AttemptStatus.RESET)
 
 
 class Router:
     """The decisions of one gateway; see ``hallproxy.interface`` for its use.
 
-    A router sees its own traffic alone. It does no I/O, reads no clock and draws on its own seed only.
+    A router sees only its own traffic. It does no I/O, reads no clock and draws random numbers from its seed.
     """
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
-        """Begin with nothing observed. Raises SettingsError for settings that make no sense."""
+        """Start without observations. Raises SettingsError for invalid settings."""
         check_settings(settings)
         self.context = context = DecisionContext(settings, gateways_in_zone(settings))
         self.requests: dict[int, RoutedRequest] = {}
@@ -72,7 +72,7 @@
         self.endpoints.assign_roles()
 
     def handle(self, now: int, events: Sequence[i.Event]) -> list[i.Action]:
-        """Take the events of one instant (ns) and return the actions for that instant, in order."""
+        """Apply the events of one instant (ns) and return the actions for that instant, in order."""
         self.context.now = now
         actions: list[i.Action] = []
         self.context.actions = actions
@@ -87,7 +87,7 @@
         return actions
 
     def _apply(self, event: i.Event) -> None:
-        """Hand one event to the rule that it concerns; events without a rule are ignored."""
+        """Pass one event to the rule that it concerns; events without a rule are ignored."""
         match event:
             case i.Request():
                 self._admit(event)
@@ -107,7 +107,7 @@
                 self.requests[event.request_id].streaming = True
 
     def _change_settings(self, settings: i.Settings) -> None:
-        """Decide by other settings from now on; what was observed stays, and so do open requests."""
+        """Apply other settings from now on; observations and open requests are preserved."""
         check_settings(settings)
         self.context.settings = settings
         self.context.zone_gateways = gateways_in_zone(settings)
@@ -116,7 +116,7 @@
         self.endpoints.assign_roles()
 
     def _run_periodic_work(self) -> None:
-        """Do what is due with time alone, ahead of the events."""
+        """Run the time-driven work that is due, ahead of the events."""
         self.timer.clear_if_fired()
         self.valuation.age()
         self.latency.update_typical_slowness()
@@ -126,7 +126,7 @@
     # New requests
 
     def _admit(self, request: i.Request) -> None:
-        """Start the first attempt, queue the request, or answer it at once where no answer can be in time."""
+        """Start the first attempt, queue the request, or answer it at once if it cannot finish in time."""
         entry = self._new_entry(request)
         self.requests[request.id] = entry
         self.queue.add_deadline(entry)
@@ -144,7 +144,7 @@
             self.queue.enqueue(entry)
 
     def _new_entry(self, request: i.Request) -> RoutedRequest:
-        """Take in a request, with its deadline, its latency objective and its place in the hash order."""
+        """Create the entry of a request, with its deadline, latency objective, hash and value density."""
         context = self.context
         request_class = context.settings.classes[request.class_index]
         sending_time = self.latency.observe_request(request)
@@ -190,7 +190,7 @@
     def _retry(self, entry: RoutedRequest, attempt: RoutedAttempt, status: i.AttemptStatus) -> None:
         """Start a further attempt within the budget, queue the request, or answer it."""
         if status in SOURCE_NOT_TRIED:
-            entry.mark_source_untried(attempt)  # another would fetch the part from the origin anew
+            entry.mark_source_untried(attempt)  # another source would fetch the part from the origin again
         lookup_missed = status is i.AttemptStatus.MISS and entry.lookup_only
         if lookup_missed or (status is i.AttemptStatus.FULL and self.concurrency.is_at_limit(entry)):
             entry.mark_cache_untried(attempt)  # it may have a copy, so it stays the first choice
@@ -198,7 +198,7 @@
                 self.queue.enqueue(entry)
             return
         if status is i.AttemptStatus.RESET and not entry.retried_after_reset:
-            # Departure: the same cache has or gets the part. Costs one connect where it has died.
+            # Departure: the same cache has the part or is getting it. Costs one connect if it is down.
             entry.retried_after_reset = True
             entry.mark_cache_untried(attempt)
         may_retry = entry.error_count < ERRORS_MAX and self.retry_budget.has_token()
@@ -222,13 +222,13 @@
                 self.retry_budget.spend()
 
     def _retry_queued(self) -> None:
-        """Try the queued requests again, those of the highest value density first."""
+        """Try the queued requests again, highest value density first."""
         if not self.queue.queued:
             return
         waiting = self.queue.waiting()
         still_queued: list[RoutedRequest] = []
         for position, entry in enumerate(waiting):
-            if self.concurrency.is_at_limit(entry):  # so it is for all of lower density
+            if self.concurrency.is_at_limit(entry):  # true then for all of lower density
                 still_queued += waiting[position:]
                 break
             if not self.attempts.start(entry):
@@ -238,7 +238,7 @@
     # Final answers
 
     def _give_up(self, entry: RoutedRequest) -> None:
-        """Answer a request that nothing more can be tried for: rejected where that is true, else failed."""
+        """Answer a request that gets no further attempt: rejected where a repeat is safe, else failed."""
         request_id = entry.request.id
         if self.idempotency.may_reject(entry):
             retry_after = min(RETRY_AFTER, self.context.settings.max_retry_after)
@@ -248,7 +248,7 @@
         self._finish(request_id)
 
     def _finish(self, request_id: int) -> None:
-        """Mark a request finished; forget it, or cancel what is still in flight for it."""
+        """Mark a request finished; drop it, or cancel its attempts in flight."""
         entry = self.requests.get(request_id)
         if entry is None:
             return
--- a/hallproxy/decisions/settings.py
+++ b/hallproxy/decisions/settings.py
@@ -1,4 +1,4 @@
-"""Validation of the settings, and the figures that follow from them."""
+"""Validation of the settings, and values derived from them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     )
     for name, value, is_valid in checks:
         if not is_valid:
-            raise SettingsError(f"setting {name} is missing or makes no sense: {value!r}")
+            raise SettingsError(f"setting {name} is missing or out of range: {value!r}")
 
 
 def gateways_in_zone(settings: Settings) -> int:
--- a/hallproxy/decisions/status.py
+++ b/hallproxy/decisions/status.py
@@ -1,4 +1,4 @@
-"""The status line in the log: the concurrency limit, and what caches and sources were like lately."""
+"""The status line in the log: the concurrency limit, and recent figures of caches and sources."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StatusReporter:
-    """Logs a status line at each interval, over which it has the carried load measured."""
+    """Logs a status line at each interval, and has the carried load measured over it."""
 
     def __init__(
         self,
@@ -32,13 +32,15 @@
         self._reported_at = 0  # ns; 0 until the first line
 
     def report_if_due(self) -> None:
-        """Log the line when the interval is over."""
+        """Log the line when the interval has passed."""
         now = self._context.now
         if now - self._reported_at < STATUS_INTERVAL:
             return
         has_interval = self._reported_at != 0
-        self._slow_start.observe_carried(CACHE, self._endpoints.caches, STATUS_INTERVAL, has_interval)
-        self._slow_start.observe_carried(PARENT, self._endpoints.parents(), STATUS_INTERVAL, has_interval)
+        self._slow_start.observe_carried_load(CACHE, self._endpoints.caches, STATUS_INTERVAL, has_interval)
+        self._slow_start.observe_carried_load(
+            PARENT, self._endpoints.parents(), STATUS_INTERVAL, has_interval
+        )
         self._reported_at = now
         self._context.log("status", self._line())
 
--- a/hallproxy/decisions/timer.py
+++ b/hallproxy/decisions/timer.py
@@ -1,4 +1,4 @@
-"""The one timer that a router keeps set."""
+"""The single timer of a router."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DecisionTimer:
-    """Sets a timer for the next deadline, check of an overdue attempt, look at the queue, or poll."""
+    """Sets a timer for the next deadline, check of an overdue attempt, check of the queue, or poll."""
 
     def __init__(self, context: DecisionContext, queue: RequestQueue, overdue: OverdueAttempts) -> None:
         self._context = context
@@ -23,12 +23,12 @@
         self._fires_at = NEVER  # ns
 
     def clear_if_fired(self) -> None:
-        """Forget the timer once its time has come."""
+        """Clear the timer once it has fired."""
         if self._context.now >= self._fires_at:
             self._fires_at = NEVER
 
     def schedule(self, poll_at: int) -> None:
-        """Set the timer if something is due earlier than it fires; finished requests need none."""
+        """Set the timer if something is due before it fires; finished requests need none."""
         queue, deadlines, checks = self._queue, self._queue.deadlines, self._overdue.checks
         while deadlines and queue.is_finished(deadlines[0][1]):
             heapq.heappop(deadlines)
--- a/hallproxy/decisions/units.py
+++ b/hallproxy/decisions/units.py
@@ -1,4 +1,4 @@
-"""Units of time. Times are integer nanoseconds, durations in seconds are floats and say so."""
+"""Units of time. Times are integer nanoseconds; durations in seconds are floats and marked as such."""
 
 MILLISECOND = 1_000_000  # ns
 SECOND = 1_000_000_000  # ns
--- a/hallproxy/decisions/valuation.py
+++ b/hallproxy/decisions/valuation.py
@@ -1,4 +1,4 @@
-"""What a copy is worth: request counts that age, the cache gain, and the cache rank that follows."""
+"""The value of a cached copy: decaying request counts, the cache gain, and the cache rank from it."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from hallproxy.interface import AttemptEnded, AttemptStatus, EndpointId, FillDetail, Request, RequestClass
 
 COUNT_HALVING_INTERVAL = 10 * SECOND  # ns
-COUNTS_MAX = 30_000  # objects counted; above it the counts are halved at once
-COUNT_MIN = 0.2  # requests; smaller counts are dropped after ageing
+COUNTS_MAX = 30_000  # objects counted; above it all counts are halved at once
+COUNT_MIN = 0.2  # requests; smaller counts are dropped when counts are halved
 TERM_PRICES = (1.0, 1.0, 1.0)  # unit prices of priority, network saving and startup (the paper's eq. 11)
-TERM_FLOOR = 1e-12  # first value of the largest terms, so that none divides by zero
-PASS_THROUGH_BELOW = 0.10  # rank among recent gains under which a copy is not admitted ...
-ADMIT_FROM_COUNT = 2.5  # ... unless the zone's aged requests reach this: its refetches cost more
-RANK_THRESHOLDS = (0.60, 0.90)  # ranks among recent gains where the cache ranks 2 and 3 begin
-LINK_USE_INITIAL = 0.5  # share of the link (the paper's mu) until a load report was received
+TERM_FLOOR = 1e-12  # initial value of the largest terms, which are divisors
+PASS_THROUGH_BELOW = 0.10  # rank among recent gains below which a copy is not admitted ...
+ADMIT_FROM_COUNT = 2.5  # ... unless the zone's request count reaches this: refetching it costs more
+RANK_THRESHOLDS = (0.60, 0.90)  # ranks among recent gains at which the cache ranks 2 and 3 begin
+LINK_USE_INITIAL = 0.5  # used share of the link (the paper's mu) until a load report was received
 LINK_USE_SMOOTHING = 0.3  # weight of one load report
-LINK_USE_FIELD = "x1"  # the load reports' field that tells it
+LINK_USE_FIELD = "x1"  # the load report field that holds it
 SENDING_TIME_MIN = 1e-3  # s; bounds the value density of the smallest objects
 
 
@@ -46,15 +46,15 @@
         self._latency = latency
         self._requests = requests
         self.counts: dict[int, float] = {}  # object -> requests, halved at each interval
-        self.largest_terms = [TERM_FLOOR] * len(TERM_PRICES)  # lately
+        self.largest_terms = [TERM_FLOOR] * len(TERM_PRICES)  # recently, halved at each interval
         self.recent_gains = RecentValues()  # of recent fills
         self.link_use = LINK_USE_INITIAL
         self._aged_at = -1  # ns; -1 until the first call
 
     def age(self) -> None:
-        """Halve counts and largest terms when the interval is over or the table is full.
+        """Halve counts and largest terms when the interval has passed or the table is full.
 
-        The counts of objects of open requests stay, however small: a further attempt is ranked by them.
+        Counts of objects with open requests are kept, however small: a further attempt is ranked by them.
         """
         now = self._context.now
         if self._aged_at < 0:
@@ -98,13 +98,13 @@
             return 0
         gain_rank = self.recent_gains.rank_of(gain)
         if gain_rank < PASS_THROUGH_BELOW and zone_requests < ADMIT_FROM_COUNT:
-            return 0  # departure: what the zone requests again and again is admitted, however large
+            return 0  # departure: what the zone requests repeatedly is admitted, however large
         if requests <= 1.0:
-            return 1  # departure: it stands for many in the zone, but evicts none that is known to return
+            return 1  # departure: it stands for many in the zone, but evicts no copy known to be in demand
         return 1 + (gain_rank >= RANK_THRESHOLDS[0]) + (gain_rank >= RANK_THRESHOLDS[1])
 
     def observe_request(self, entry: RoutedRequest) -> None:
-        """Learn a gain at the request where answers never tell which of them were fills."""
+        """Learn a gain at the request, where answers never say which of them were fills."""
         if self._context.settings.fill_detail is not FillDetail.NONE:
             return
         if self.counts[entry.request.object] * self._context.zone_gateways > 1.0:
@@ -118,7 +118,7 @@
             self.recent_gains.add(entry.cache_gain)
 
     def observe_load_report(self, endpoint_id: EndpointId, load: tuple[float, ...]) -> None:
-        """Learn the link's use from a cache's load report; fields that are no number are passed over."""
+        """Learn the link's use from a cache's load report; NaN values are ignored."""
         for name, value in zip(self._context.settings.report_fields, load, strict=False):
             is_number = value == value
             if name == LINK_USE_FIELD and is_number and self._is_cache(endpoint_id):
--- a/hallproxy/interface.py
+++ b/hallproxy/interface.py
@@ -1,8 +1,8 @@
 """The interface of the decisions: settings, events in, actions out.
 
-Make one ``Router(settings, seed)`` for each gateway process, hand it events with ``handle(now, events)`` and
-carry out the actions it returns, in order, at that same time. Times (``..._at``, ``now``) and durations are
-integer nanoseconds on one clock that never goes backwards; sizes are in KB. Nothing here decides anything.
+Create one ``Router(settings, seed)`` per gateway process, pass events to ``handle(now, events)`` and execute
+the actions it returns, in order, at that same time. Times (``..._at``, ``now``) and durations are integer
+nanoseconds on one monotonic clock; sizes are in KB. This module only defines types.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class FillDetail(Enum):
-    """Which answers carry a cache status: none, those from hits, or all."""
+    """Which answers carry a cache status: none, hits only, or all."""
 
     NONE = "none"
     HIT = "hit"
@@ -48,7 +48,7 @@
 
 
 class EndpointState(IntEnum):
-    """State of an endpoint on the list; only ready ones get attempts."""
+    """State of a listed endpoint; only ready ones get attempts."""
 
     GONE = 0
     DRAINING = 1
@@ -56,7 +56,7 @@
 
 
 class EndpointListKind(IntEnum):
-    """What a list change holds.
+    """What an update of the endpoint list contains.
 
     DELTA: changed entries. FULL: all entries. CACHED: all entries, as last known. FAILED: none, as
     the poll failed.
@@ -69,7 +69,7 @@
 
 
 class AttemptStatus(Enum):
-    """How an attempt ended. FULL, CONNECT_FAILED, NOT_SENT and MISS prove that it never ran."""
+    """How an attempt ended. FULL, CONNECT_FAILED, NOT_SENT and MISS prove that it was not executed."""
 
     OK = "ok"
     ERROR = "error"
@@ -92,7 +92,7 @@
 
 
 class CacheStatus(IntEnum):
-    """How a cache came by its answer, or why it has none; NONE where answers don't tell."""
+    """How a cache obtained its answer, or why it has none; NONE where answers carry no status."""
 
     NONE = 0
     HIT = 1
@@ -113,7 +113,7 @@
     NONE = 0
     JOIN = 1  # a fill in flight may be joined
     CACHED_ONLY = 2  # answer only from the cache
-    NO_PARENT_COPY = 4  # the parent does not cache what it passes on
+    NO_PARENT_COPY = 4  # the parent does not cache what it forwards
     REVALIDATE = 8  # an expired copy is revalidated with its source
 
 
@@ -125,17 +125,17 @@
     own sending time.
     """
 
-    latency_objective: int  # ns; the time within which an answer has its full value
-    deadline: int  # ns; the time after which clients disconnect
-    priority_weight: float = 1.0  # value of an answer in time
+    latency_objective: int  # ns; an answer within it has its full value
+    deadline: int  # ns after which clients disconnect
+    priority_weight: float = 1.0  # value of an answer within the objective
     late_weight: float = 0.0  # value of a late answer
     objective_stretch: float = 0.0
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     idempotency_scope: Scope = Scope.ALL  # the endpoints that share a request's idempotency key
-    idempotency_window: int = 0  # ns that they remember it
+    idempotency_window: int = 0  # ns for which they remember the key
     streaming: bool = False
-    fresh_for: int = 0  # ns that a copy is fresh; 0: until it is purged
-    stale_grace: int = 0  # ns past that in which a stale copy may still be served
+    fresh_for: int = 0  # ns for which a copy is fresh; 0: until it is purged
+    stale_grace: int = 0  # ns after ``fresh_for`` in which a stale copy may still be served
     multipart: bool = False  # objects are requested in parts, the first of them at startup
     is_write: bool = False
     name: str = ""
@@ -143,35 +143,35 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The settings of one gateway. Zero, false or empty stands for what the deployment lacks.
+    """The settings of one gateway. Zero, false or empty means that the deployment lacks the feature.
 
-    Tuples by zone run over the zones by their number. A hub is a zone that has parents, named by its number.
+    Tuples by zone are indexed by zone number. A hub is a zone that has parents, identified by its number.
     """
 
     classes: tuple[RequestClass, ...]
-    zone: int  # the gateway's own
+    zone: int  # the gateway's own zone
     zone_hub: tuple[int, ...]  # by zone: the hub that it belongs to
     parent_kind: int  # -1 where there are no parents
     origin_kind: int
-    slow_start_share: float  # share of its capacity that a cache has at its start
-    slow_start_duration: int  # ns until it has all of it
-    overload_multiple: float  # times its present capacity from which a warming-up cache fails
-    overload_window: int  # ns that the overload must last
-    drain_grace: int  # ns after a drain or removal was notified, within which attempts there must cease
-    answer_slack: int  # ns after the client's deadline in which a final answer still counts
+    slow_start_share: float  # share of its capacity that a cache has when it starts
+    slow_start_duration: int  # ns until it has its full capacity
+    overload_multiple: float  # multiple of its current capacity at which a warming-up cache fails
+    overload_window: int  # ns for which the overload must last
+    drain_grace: int  # ns after the notice of a drain or removal, within which attempts there must end
+    answer_slack: int  # ns after the client's deadline within which a final answer still counts
     gateways_by_zone: tuple[int, ...] = ()
     gateway_count: int = 1
     gateway_index: int = 0
     tick: int = 0  # ns; shortest interval between two calls of ``handle``
-    transfer_kb_s: float = 0.0  # full pace of one transfer
-    zone_link_kb_s: tuple[float, ...] = ()  # by zone: its inbound link; 0 where unknown
+    transfer_kb_s: float = 0.0  # KB/s; full rate of one transfer
+    zone_link_kb_s: tuple[float, ...] = ()  # by zone: KB/s of its inbound link; 0: unknown
     parent_slow_start_share: float = 0.0
     parent_slow_start_duration: int = 0  # ns
-    parent_overload_multiple: float = 0.0  # the same for parents
-    origin_overload_multiple: float = 0.0  # times its capacity from which the origin fails; 0: never
-    purge_grace: int = 0  # ns after its notification, from which a purge must be heeded
+    parent_overload_multiple: float = 0.0  # these three as above, for parents
+    origin_overload_multiple: float = 0.0  # multiple of its capacity at which the origin fails; 0: never
+    purge_grace: int = 0  # ns after the notice of a purge, from which answers must obey it
     purge_duration: int = 0  # ns until all caches have carried out a purge
-    weights_known: bool = False  # endpoints' weights are the transfers that their links carry
+    weights_known: bool = False  # an endpoint's weight is the number of transfers that its link carries
     fill_detail: FillDetail = FillDetail.NONE
     sibling_scope: Scope = Scope.NONE  # the caches that may be fill sources
     joins_fills: bool = False
@@ -185,7 +185,7 @@
     load_reports: LoadReports = LoadReports.NONE
     report_fields: tuple[str, ...] = ()  # names of a load report's values
     polls_endpoint_list: bool = False  # the list must be polled
-    poll_within: int = 0  # ns without a poll, after which the list counts as notified
+    poll_within: int = 0  # ns without a poll, after which a list change counts as notified
     idle_close: int = 0  # ns after which idle connections are closed
     zone_names: tuple[str, ...] = ()
     kind_names: tuple[str, ...] = ()
@@ -197,16 +197,16 @@
 
     id: EndpointId
     state: EndpointState
-    kind: int = 0  # compares with the settings' ``parent_kind`` and ``origin_kind``; else a cache
+    kind: int = 0  # the settings' ``parent_kind`` or ``origin_kind``; any other is a cache
     zone: int = 0
     cell: int = 0
-    weight: float = 1.0  # capacity, compared with others'
-    started_at: int = 0  # ns; 0: long ago
+    weight: float = 1.0  # capacity, relative to other endpoints
+    started_at: int = 0  # ns; 0: long enough ago to be warm
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointsChanged:
-    """The endpoint list, or what changed in it."""
+    """The endpoint list, or the changed entries of it."""
 
     kind: EndpointListKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -218,21 +218,21 @@
     """A client's request for one part of an object; it must get one final answer within ``time_left``."""
 
     id: int
-    class_index: int  # place in the settings' ``classes``
+    class_index: int  # index into the settings' ``classes``
     time_left: int  # ns
     object: int = 0
     part: int = 0
-    group: int = 0  # of objects that are purged together
+    group: int = 0  # its objects are purged together
     size_kb: float = 0.0  # 0: unknown
     tenant: int = 0
     is_retry: bool = False
     is_write: bool = False
-    allowed_endpoints: frozenset[EndpointId] = frozenset()  # that may answer it; empty: any
+    allowed_endpoints: frozenset[EndpointId] = frozenset()  # the endpoints that may answer it; empty: any
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """Settings that hold from now on; the classes and the zone are the same ones."""
+    """Settings that apply from now on; the classes and the zone are unchanged."""
 
     settings: Settings
 
@@ -253,7 +253,7 @@
     endpoint: EndpointId
     status: AttemptStatus
     latency: int  # ns since its start
-    request_closed: bool = False  # the request needs no answer any more, by this one or since before
+    request_closed: bool = False  # the request needs no further answer, due to this end or an earlier event
     cache_status: int = 0  # a CacheStatus
     source_wait: int = 0  # ns that the cache waited for its source's first byte; 0: unknown
     load: tuple[float, ...] = ()  # a load report, by the settings' ``report_fields``
@@ -271,14 +271,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """A client that disconnected; its request needs no answer any more."""
+    """A client disconnected; its request needs no further answer."""
 
     request_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer that was set has fired."""
+    """A timer has fired."""
 
     token: int
 
@@ -304,7 +304,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GossipReceived:
-    """A message of another gateway."""
+    """A message from another gateway."""
 
     sender: int
     data: bytes
@@ -332,15 +332,15 @@
     request_id: int
     endpoint: EndpointId
     timeout: int  # ns
-    source: EndpointId  # from which a miss is filled; the endpoint itself: a miss is not filled
+    source: EndpointId  # fills a miss; the endpoint itself: a miss is not filled
     cache_rank: int = 0  # 0: the copy is not admitted; 1 to 3: the rank it gets in the cache
-    max_age: int = 0  # ns; the oldest copy that will do; 0: the class's ``fresh_for`` holds
+    max_age: int = 0  # ns; maximum age of a usable copy; 0: the class's ``fresh_for`` applies
     flags: int = FetchFlags.NONE
 
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: rejected, and a repeat of the request is harmless."""
+    """Final answer: rejected, and the client may safely repeat the request."""
 
     request_id: int
     retry_after: int = 0  # ns
@@ -348,7 +348,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed, and the request may have run."""
+    """Final answer: failed, and the request may have been executed."""
 
     request_id: int
 
@@ -363,7 +363,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Call ``handle`` at a time, with ``TimerFired`` and this token."""
+    """Call ``handle`` at the given time, with ``TimerFired`` and this token."""
 
     at: int  # ns
     token: int
@@ -378,7 +378,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PollEndpointList:
-    """Poll the endpoint list for its changes from now on."""
+    """Poll the endpoint list for changes from now on."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -392,4 +392,4 @@
 
 
 class SettingsError(ValueError):
-    """A required setting is missing or out of range; the text names it."""
+    """A required setting is missing or out of range; the message names it."""
--- a/tests/decisions/test_differential.py
+++ b/tests/decisions/test_differential.py
@@ -58,7 +58,7 @@
         ("endpoints", "POLL_RETRY_INTERVAL", "rich"),
         ("hashing", "HASH_RANGE", "plain"),
         ("hedging", "OVERDUE_QUANTILE", "plain"),
-        ("latency", "SLOW_FROM", "plain"),
+        ("latency", "SLOW_MULTIPLE", "plain"),
         ("outliers", "EJECT_ABOVE", "plain"),
         ("placement", "BOUNDED_LOAD_SLACK", "plain"),
         ("purges", "EXPIRY_MARGIN", "plain"),
