--- a/hallproxy/adapter.py
+++ b/hallproxy/adapter.py
@@ -33,15 +33,15 @@
 def _reply(batch: EventBatch, routers: dict[int, Router]) -> bytes:
     """Encode every instance's actions, or the fault of the first instance whose decisions failed."""
     replies: list[InstanceActions] = []
-    for group in batch.instances:
+    for instance_events in batch.instances:
         try:
-            actions = _run(routers, group.instance, batch.now, group.events)
+            actions = _run(routers, instance_events.instance, batch.now, instance_events.events)
         except (SettingsError, WireError):
             raise
         except Exception as error:  # noqa: BLE001 - the simulator ends its run and shows this text
             text = f"{type(error).__name__}: {error} (line {_line_of(error)})"
-            return encode_fault(batch.number, group.instance, text)
-        replies.append(InstanceActions(group.instance, actions))
+            return encode_fault(batch.number, instance_events.instance, text)
+        replies.append(InstanceActions(instance_events.instance, actions))
     return encode_reply(batch.number, replies)
 
 
--- a/hallproxy/decisions/outliers.py
+++ b/hallproxy/decisions/outliers.py
@@ -17,7 +17,7 @@
 RESET_SMOOTHING = 0.05  # weight of a broken connection: only many of them eject an endpoint
 EJECT_ABOVE = 0.35  # failure share from which an endpoint is ejected ...
 EJECT_MULTIPLE = 2.0  # ... if it is this multiple of its peers' median: a shared cause ejects none
-UNEJECT_BELOW = 0.15  # failure share below which it is reinstated
+UNEJECT_BELOW = 0.15  # failure share below which it is unejected
 HEALTH_CHECK_INTERVAL = SECOND  # ns between the single requests that check an ejected endpoint
 SILENT_AFTER = 2 * SECOND  # ns without an answer, after which an endpoint does not count as alive
 
@@ -83,7 +83,7 @@
             self._update(source, 1.0)  # answers don't say which of them failed; the medians show it over time
 
     def _update(self, peer: EndpointStatistics, failure: float, smoothing: float = FAILURE_SMOOTHING) -> None:
-        """Smooth one outcome (1 for a failure) into the failure share; eject or reinstate."""
+        """Smooth one outcome (1 for a failure) into the failure share; eject or uneject."""
         peer.failure_share += smoothing * (failure - peer.failure_share)
         if peer.ejected:
             if peer.failure_share < UNEJECT_BELOW:
--- a/tests/decisions/event_encoding.py
+++ b/tests/decisions/event_encoding.py
@@ -1,7 +1,6 @@
 """Encodings of events and actions for the differential test.
 
-They depend on positions and values, not on names, so that a renamed type or field leaves every digest as it
-is.
+They depend on positions and values, not on names, so that renaming a type or field changes no digest.
 """
 
 from __future__ import annotations
@@ -16,13 +15,13 @@
 from hallproxy import interface as i
 from hallproxy.wire.simulator_events import STATUS
 
-STATUS_CODES = {status: code for code, status in STATUS.items()}
+STATUS_CODES = {status: status_code for status_code, status in STATUS.items()}
 
 Batch = tuple[int, list[Any]]  # time (ns), encoded events
 
 
 def encode_action(action: i.Action) -> tuple[Any, ...]:
-    """Encode an action as plain values; of a log line only its figures, as its wording may change."""
+    """Encode an action as plain values; a log line as its numbers only, as its wording may change."""
     match action:
         case i.StartAttempt():
             return (
@@ -55,11 +54,11 @@
     """Encode an event as plain values, for JSON."""
     match event:
         case i.EndpointsChanged():
-            members = [
+            endpoints = [
                 [m.id.decode(), int(m.state), m.kind, m.zone, m.cell, m.weight, m.started_at]
                 for m in event.endpoints
             ]
-            return ["members", int(event.kind), members, event.version]
+            return ["members", int(event.kind), endpoints, event.version]
         case i.SettingsChanged():
             return ["settings", event.settings.max_attempts]
         case i.Request():
@@ -118,23 +117,51 @@
     kind, *values = data
     match kind:
         case "members":
-            members = tuple(i.Endpoint(m[0].encode(), i.EndpointState(m[1]), *m[2:]) for m in values[1])
-            return i.EndpointsChanged(i.EndpointListKind(values[0]), members, values[2])
+            endpoints = tuple(i.Endpoint(m[0].encode(), i.EndpointState(m[1]), *m[2:]) for m in values[1])
+            return i.EndpointsChanged(i.EndpointListKind(values[0]), endpoints, values[2])
         case "settings":
             return i.SettingsChanged(replace(settings, max_attempts=values[0]))
         case "request":
-            ident, cls, left, obj, part, group, size, write, among = values
-            allowed = frozenset(server.encode() for server in among)
+            request_id, class_index, time_left, object_id, part, group, size_kb, is_write, allowed_ids = (
+                values
+            )
+            allowed = frozenset(endpoint.encode() for endpoint in allowed_ids)
             return i.Request(
-                ident, cls, left, obj, part, group, size, is_write=write, allowed_endpoints=allowed
+                request_id,
+                class_index,
+                time_left,
+                object_id,
+                part,
+                group,
+                size_kb,
+                is_write=is_write,
+                allowed_endpoints=allowed,
             )
         case "seen":
             return i.ServedLocally(*values)
         case "outcome":
-            ident, attempt, server, code, latency, closed, note, waited, load = values
-            status = STATUS[code]
+            (
+                request_id,
+                attempt,
+                endpoint,
+                status_code,
+                latency,
+                request_closed,
+                cache_status,
+                source_wait,
+                load,
+            ) = values
+            status = STATUS[status_code]
             return i.AttemptEnded(
-                ident, attempt, server.encode(), status, latency, closed, note, waited, tuple(load)
+                request_id,
+                attempt,
+                endpoint.encode(),
+                status,
+                latency,
+                request_closed,
+                cache_status,
+                source_wait,
+                tuple(load),
             )
         case "stream":
             return i.StreamStarted(values[0], values[1], values[2].encode(), values[3])
@@ -148,7 +175,7 @@
             return i.ObjectPurged(*values)
         case "peer":
             return i.GossipReceived(values[0], values[1].encode())
-    raise ValueError(f"unknown event {kind!r}")
+    raise ValueError(f"unknown event kind {kind!r}")
 
 
 def save(path: Path, batches: list[Batch]) -> None:
--- a/tests/decisions/event_streams.py
+++ b/tests/decisions/event_streams.py
@@ -1,4 +1,4 @@
-"""Event streams for the differential test: generated in a closed loop, or recorded and played back."""
+"""Event streams for the differential test: generated in a closed loop, or recorded and replayed."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 )
 STREAM = replace(CLIP, streaming=True, stale_grace=2 * SECOND, fresh_for=6 * SECOND)
 
-SITES = {
-    # One attempt at a time, nothing told of fills, no weights, long deadlines.
+DEPLOYMENTS = {
+    # No hedging, answers without cache status, no weights, long deadlines.
     "plain": replace(SETTINGS, classes=(CLIP, SMALL, WRITE)),
-    # All that a site can allow: hedged requests, fills told, weights, load reports, a polled list.
+    # All that a deployment can allow: hedging, cache statuses, weights, load reports, a polled list.
     "rich": replace(
         SETTINGS,
         classes=(CLIP, SMALL, KEYED, KEYED_ANYWHERE, WRITE, STREAM),
@@ -54,7 +54,7 @@
         poll_within=10 * SECOND,
         max_attempts=4,
     ),
-    # One gateway of its zone, with two caches that it can fill, and prices that differ by class.
+    # A zone with one gateway and two caches, and priority weights that differ by class.
     "single": replace(
         SETTINGS,
         classes=(replace(CLIP, priority_weight=7.0), SMALL, KEYED),
@@ -78,10 +78,10 @@
 
 
 class Recorder:
-    """A router whose events and actions are digested as they pass."""
+    """Runs a router; records its events and keeps a digest of its actions."""
 
-    def __init__(self, site: str, seed: int) -> None:
-        self.router = Router(SITES[site], seed)
+    def __init__(self, deployment: str, seed: int) -> None:
+        self.router = Router(DEPLOYMENTS[deployment], seed)
         self.digest = hashlib.sha256()
         self.events: list[Batch] = []
         self.kinds: set[str] = set()
@@ -98,83 +98,93 @@
         return actions
 
 
-class World:
-    """Clients, caches and a list of them, drawn from one seed, that answer what the router sends.
+class Simulation:
+    """Clients, caches and the endpoint list, drawn from one seed; ends the attempts that the router starts.
 
-    Phases follow each other: calm, overload, one bad cache, a bad parent, a jam behind the caches, and an
+    Its phases: normal load, overload, a failing cache, a failing parent, a stall behind the caches, and an
     outage in which nearly all attempts fail.
     """
 
-    def __init__(self, site: str, seed: int) -> None:
-        self.site, self.settings = site, SITES[site]
-        self.drawn = random.Random(f"{site}/{seed}")
-        self.recorder = Recorder(site, seed)
+    def __init__(self, deployment: str, seed: int) -> None:
+        self.deployment, self.settings = deployment, DEPLOYMENTS[deployment]
+        self.rng = random.Random(f"{deployment}/{seed}")
+        self.recorder = Recorder(deployment, seed)
         self.queue: list[tuple[int, int, i.Event]] = []
-        self.numbers = 0
+        self.sequence = 0
         self.now = START
-        gone = {b"c-2", b"c-3", b"c-4", b"c-5"} if site == "single" else set()
-        self.initial = tuple(member for member in FLEET if member.id not in gone)
-        self.fleet = {member.id: member for member in self.initial}
-        self.live: set[int] = set()
-        self.sizes: dict[int, float] = {}
+        removed = {b"c-2", b"c-3", b"c-4", b"c-5"} if deployment == "single" else set()
+        self.initial_endpoints = tuple(endpoint for endpoint in FLEET if endpoint.id not in removed)
+        self.fleet = {endpoint.id: endpoint for endpoint in self.initial_endpoints}
+        self.open_requests: set[int] = set()
+        self.sizes_kb: dict[int, float] = {}
         self.attempts: dict[int, int] = {}
-        self.out: dict[tuple[int, int], bytes] = {}
+        self.in_flight: dict[tuple[int, int], bytes] = {}
 
-    def later(self, delay: int, event: i.Event) -> None:
-        self.numbers += 1
-        heapq.heappush(self.queue, (self.now + max(0, delay), self.numbers, event))
+    def schedule(self, delay: int, event: i.Event) -> None:
+        self.sequence += 1
+        heapq.heappush(self.queue, (self.now + max(0, delay), self.sequence, event))
 
     def run(self, seconds: int) -> Recorder:
-        self.deliver([i.EndpointsChanged(i.EndpointListKind.CACHED, self.initial, 1)])
+        self.deliver([i.EndpointsChanged(i.EndpointListKind.CACHED, self.initial_endpoints, 1)])
         end = START + seconds * SECOND
-        request_at, other_at, ident = START, START + 100 * MS, 0
+        request_at, other_events_at, request_id = START, START + 100 * MS, 0
         while self.now < end:
-            at = min(request_at, other_at, self.queue[0][0] if self.queue else end)
+            at = min(request_at, other_events_at, self.queue[0][0] if self.queue else end)
             self.now = max(self.now, at)
             batch: list[i.Event] = []
             while self.queue and self.queue[0][0] <= self.now:
                 batch.append(heapq.heappop(self.queue)[2])
             if request_at <= self.now:
-                ident += 1
-                batch.append(self.request(ident))
-                request_at = self.now + int(self.drawn.expovariate(self.rate()) * SECOND)
-            if other_at <= self.now:
-                batch.extend(self.other())
-                other_at = self.now + int(self.drawn.expovariate(6.0) * SECOND)
+                request_id += 1
+                batch.append(self.request(request_id))
+                request_at = self.now + int(self.rng.expovariate(self.request_rate()) * SECOND)
+            if other_events_at <= self.now:
+                batch.extend(self.other_events())
+                other_events_at = self.now + int(self.rng.expovariate(6.0) * SECOND)
             self.deliver(batch)
         return self.recorder
 
     def phase(self) -> int:
         return (self.now - START) // (4 * SECOND) % 6
 
-    def rate(self) -> float:
-        if self.site == "single":
+    def request_rate(self) -> float:
+        if self.deployment == "single":
             return 900.0 if self.phase() == 1 else 120.0
         return 400.0 if self.phase() == 1 else 60.0
 
-    def request(self, ident: int) -> i.Request:
-        drawn = self.drawn
-        cls = drawn.randrange(len(self.settings.classes))
-        obj = int(drawn.paretovariate(0.8)) % 400 + 1
-        size = 0.0 if drawn.random() < 0.05 else min(4000.0, 30.0 * drawn.paretovariate(0.9))
-        left = int(self.settings.classes[cls].deadline * drawn.choice((0.02, 0.5, 1.0, 1.0, 1.0)))
-        caches = [member.id for member in FLEET[:CACHE_COUNT]]
-        among = frozenset(drawn.sample(caches, 3)) if drawn.random() < 0.03 else frozenset()
-        self.live.add(ident)
-        self.sizes[ident] = size
-        part = drawn.randrange(3) if self.settings.classes[cls].multipart else 0
-        if drawn.random() < 0.04:
-            self.later(int(drawn.expovariate(4.0) * SECOND), i.ClientDisconnected(ident))
-        write = drawn.random() < 0.02
-        return i.Request(ident, cls, left, obj, part, obj % 8, size, is_write=write, allowed_endpoints=among)
+    def request(self, request_id: int) -> i.Request:
+        rng = self.rng
+        class_index = rng.randrange(len(self.settings.classes))
+        object_id = int(rng.paretovariate(0.8)) % 400 + 1
+        size_kb = 0.0 if rng.random() < 0.05 else min(4000.0, 30.0 * rng.paretovariate(0.9))
+        time_left = int(self.settings.classes[class_index].deadline * rng.choice((0.02, 0.5, 1.0, 1.0, 1.0)))
+        caches = [endpoint.id for endpoint in FLEET[:CACHE_COUNT]]
+        allowed = frozenset(rng.sample(caches, 3)) if rng.random() < 0.03 else frozenset()
+        self.open_requests.add(request_id)
+        self.sizes_kb[request_id] = size_kb
+        part = rng.randrange(3) if self.settings.classes[class_index].multipart else 0
+        if rng.random() < 0.04:
+            self.schedule(int(rng.expovariate(4.0) * SECOND), i.ClientDisconnected(request_id))
+        is_write = rng.random() < 0.02
+        return i.Request(
+            request_id,
+            class_index,
+            time_left,
+            object_id,
+            part,
+            object_id % 8,
+            size_kb,
+            is_write=is_write,
+            allowed_endpoints=allowed,
+        )
 
-    def other(self) -> list[i.Event]:
-        """Something besides requests and their answers: endpoints, purges, settings, timers out of turn."""
-        drawn, server = self.drawn, self.drawn.choice(list(self.fleet))
-        member = self.fleet[server]
-        match drawn.randrange(12):
+    def other_events(self) -> list[i.Event]:
+        """Events besides requests and answers: endpoints, purges, settings, unexpected timers and others."""
+        rng, endpoint_id = self.rng, self.rng.choice(list(self.fleet))
+        endpoint = self.fleet[endpoint_id]
+        match rng.randrange(12):
             case 0 | 1:
-                state = drawn.choice(
+                state = rng.choice(
                     (
                         i.EndpointState.READY,
                         i.EndpointState.READY,
@@ -182,82 +192,87 @@
                         i.EndpointState.GONE,
                     )
                 )
-                started = drawn.choice((member.started_at, self.now - 50 * MS))
-                self.fleet[server] = replace(member, state=state, started_at=started)
-                return [i.EndpointsChanged(i.EndpointListKind.DELTA, (self.fleet[server],), self.numbers)]
+                started = rng.choice((endpoint.started_at, self.now - 50 * MS))
+                self.fleet[endpoint_id] = replace(endpoint, state=state, started_at=started)
+                return [
+                    i.EndpointsChanged(i.EndpointListKind.DELTA, (self.fleet[endpoint_id],), self.sequence)
+                ]
             case 2:
-                back = {m.id: replace(m, state=i.EndpointState.READY) for m in self.fleet.values()}
-                self.fleet = back
-                kind = drawn.choice((i.EndpointListKind.FULL, i.EndpointListKind.CACHED))
-                return [i.EndpointsChanged(kind, tuple(back.values()), self.numbers)]
+                restored = {m.id: replace(m, state=i.EndpointState.READY) for m in self.fleet.values()}
+                self.fleet = restored
+                kind = rng.choice((i.EndpointListKind.FULL, i.EndpointListKind.CACHED))
+                return [i.EndpointsChanged(kind, tuple(restored.values()), self.sequence)]
             case 3:
                 return [i.EndpointsChanged(i.EndpointListKind.FAILED)]
             case 4 | 5:
-                return [i.ObjectPurged(drawn.randrange(1, 30), 0, drawn.randrange(400) * MS)]
+                return [i.ObjectPurged(rng.randrange(1, 30), 0, rng.randrange(400) * MS)]
             case 6:
-                if self.site == "single" and self.phase() == 0:
+                if self.deployment == "single" and self.phase() == 0:
                     return [i.ObjectPurged(n, 0, n % 400 * MS) for n in range(1, 4200)]
-                return [i.ObjectPurged(0, drawn.randrange(8), drawn.randrange(400) * MS)]
+                return [i.ObjectPurged(0, rng.randrange(8), rng.randrange(400) * MS)]
             case 7:
-                if self.site == "single" and self.phase() == 4:
+                if self.deployment == "single" and self.phase() == 4:
                     return [i.ServedLocally(n) for n in range(1000, 32_000)]
-                return [i.ServedLocally(drawn.randrange(1, 400)) for _ in range(5)]
+                return [i.ServedLocally(rng.randrange(1, 400)) for _ in range(5)]
             case 8:
-                return [i.TimerFired(drawn.randrange(3))]
+                return [i.TimerFired(rng.randrange(3))]
             case 9:
                 return [
                     i.HealthCheckEnded(
-                        server, drawn.choice((i.AttemptStatus.OK, i.AttemptStatus.TIMEOUT)), 3 * MS
+                        endpoint_id, rng.choice((i.AttemptStatus.OK, i.AttemptStatus.TIMEOUT)), 3 * MS
                     )
                 ]
             case 10:
                 return [i.GossipReceived(1, b"anything")]
             case _:
-                attempts = drawn.choice((self.settings.max_attempts, 2, 6))
+                attempts = rng.choice((self.settings.max_attempts, 2, 6))
                 return [i.SettingsChanged(replace(self.settings, max_attempts=attempts))]
 
     def deliver(self, batch: list[i.Event]) -> None:
         for event in batch:
             if isinstance(event, i.AttemptEnded):
-                self.out.pop((event.request_id, event.attempt), None)
+                self.in_flight.pop((event.request_id, event.attempt), None)
                 if event.status is i.AttemptStatus.OK:
-                    self.live.discard(event.request_id)
+                    self.open_requests.discard(event.request_id)
             elif isinstance(event, i.ClientDisconnected):
-                self.live.discard(event.request_id)
-        batch = [self.closed(event) for event in batch]
+                self.open_requests.discard(event.request_id)
+        batch = [self.mark_closed(event) for event in batch]
         for action in self.recorder.handle(self.now, batch):
             match action:
                 case i.StartAttempt():
-                    self.answer(action)
+                    self.answer_attempt(action)
                 case i.Reject() | i.Fail():
-                    self.live.discard(action.request_id)
+                    self.open_requests.discard(action.request_id)
                 case i.SetTimer():
-                    self.later(action.at - self.now, i.TimerFired(action.token))
+                    self.schedule(action.at - self.now, i.TimerFired(action.token))
                 case i.CancelAttempt():
-                    server = self.out.get((action.request_id, action.attempt))
-                    if server is not None:
+                    endpoint_id = self.in_flight.get((action.request_id, action.attempt))
+                    if endpoint_id is not None:
                         status = i.AttemptStatus.CANCELLED
-                        self.later(
-                            0, i.AttemptEnded(action.request_id, action.attempt, server, status, MS, True)
+                        self.schedule(
+                            0,
+                            i.AttemptEnded(action.request_id, action.attempt, endpoint_id, status, MS, True),
                         )
                 case _:
                     pass
 
-    def closed(self, event: i.Event) -> i.Event:
+    def mark_closed(self, event: i.Event) -> i.Event:
         if isinstance(event, i.AttemptEnded):
-            return replace(event, request_closed=event.request_id not in self.live)
+            return replace(event, request_closed=event.request_id not in self.open_requests)
         return event
 
-    def answer(self, get: i.StartAttempt) -> None:
-        drawn, phase = self.drawn, self.phase()
-        attempt = self.attempts.get(get.request_id, 0)
-        self.attempts[get.request_id] = attempt + 1
-        self.out[get.request_id, attempt] = get.endpoint
-        work = self.sizes[get.request_id] / self.settings.transfer_kb_s
-        latency = int((work * (0.1 if self.site == "single" else 1.0) + drawn.expovariate(30.0)) * SECOND)
-        status, note = i.AttemptStatus.OK, i.CacheStatus.HIT
-        if drawn.random() < 0.35:
-            note = drawn.choice(
+    def answer_attempt(self, started: i.StartAttempt) -> None:
+        rng, phase = self.rng, self.phase()
+        attempt = self.attempts.get(started.request_id, 0)
+        self.attempts[started.request_id] = attempt + 1
+        self.in_flight[started.request_id, attempt] = started.endpoint
+        sending_time = self.sizes_kb[started.request_id] / self.settings.transfer_kb_s
+        latency = int(
+            (sending_time * (0.1 if self.deployment == "single" else 1.0) + rng.expovariate(30.0)) * SECOND
+        )
+        status, cache_status = i.AttemptStatus.OK, i.CacheStatus.HIT
+        if rng.random() < 0.35:
+            cache_status = rng.choice(
                 (
                     i.CacheStatus.FILLED,
                     i.CacheStatus.FILLED_BY_ORIGIN,
@@ -265,10 +280,10 @@
                     i.CacheStatus.STALE,
                 )
             )
-            latency += int(drawn.uniform(0.02, 0.2) * SECOND)
-        bad = (phase == 2 and get.endpoint == b"c-1") or (phase == 3 and get.source == b"p-0")
-        if drawn.random() < (0.9 if phase == 5 else 0.7 if bad else 0.04):
-            status = drawn.choice(
+            latency += int(rng.uniform(0.02, 0.2) * SECOND)
+        faulty = (phase == 2 and started.endpoint == b"c-1") or (phase == 3 and started.source == b"p-0")
+        if rng.random() < (0.9 if phase == 5 else 0.7 if faulty else 0.04):
+            status = rng.choice(
                 (
                     i.AttemptStatus.ERROR,
                     i.AttemptStatus.FULL,
@@ -278,30 +293,40 @@
                     i.AttemptStatus.NOT_SENT,
                 )
             )
-            note = (
-                drawn.choice(tuple(i.CacheStatus))
+            cache_status = (
+                rng.choice(tuple(i.CacheStatus))
                 if status is not i.AttemptStatus.NOT_SENT
                 else i.CacheStatus.NONE
             )
-            latency = int(drawn.uniform(0.001, 0.05) * SECOND)
-        elif (phase == 4 and drawn.random() < 0.6) or drawn.random() < 0.02:
-            latency = 10 * get.timeout
-        if latency >= get.timeout:
-            status, note, latency = i.AttemptStatus.TIMEOUT, i.CacheStatus.NONE, get.timeout
+            latency = int(rng.uniform(0.001, 0.05) * SECOND)
+        elif (phase == 4 and rng.random() < 0.6) or rng.random() < 0.02:
+            latency = 10 * started.timeout
+        if latency >= started.timeout:
+            status, cache_status, latency = i.AttemptStatus.TIMEOUT, i.CacheStatus.NONE, started.timeout
         if self.settings.fill_detail is i.FillDetail.NONE:
-            note = i.CacheStatus.NONE
-        load = (drawn.random(), drawn.random()) if self.settings.report_fields else ()
-        if status is i.AttemptStatus.OK and drawn.random() < 0.05:
-            self.later(latency // 2, i.StreamStarted(get.request_id, attempt, get.endpoint, latency // 2))
-        outcome = i.AttemptEnded(
-            get.request_id, attempt, get.endpoint, status, latency, False, int(note), latency // 3, load
+            cache_status = i.CacheStatus.NONE
+        load = (rng.random(), rng.random()) if self.settings.report_fields else ()
+        if status is i.AttemptStatus.OK and rng.random() < 0.05:
+            self.schedule(
+                latency // 2, i.StreamStarted(started.request_id, attempt, started.endpoint, latency // 2)
+            )
+        ended = i.AttemptEnded(
+            started.request_id,
+            attempt,
+            started.endpoint,
+            status,
+            latency,
+            False,
+            int(cache_status),
+            latency // 3,
+            load,
         )
-        self.later(latency, outcome)
+        self.schedule(latency, ended)
 
 
-def play(site: str, batches: Iterable[Batch], seed: int) -> Recorder:
-    """Hand recorded batches to a new router, whatever it answers."""
-    recorder = Recorder(site, seed)
+def replay(deployment: str, batches: Iterable[Batch], seed: int) -> Recorder:
+    """Pass recorded batches to a new router, regardless of its actions."""
+    recorder = Recorder(deployment, seed)
     for now, events in batches:
-        recorder.handle(now, [decode_event(SITES[site], event) for event in events])
+        recorder.handle(now, [decode_event(DEPLOYMENTS[deployment], event) for event in events])
     return recorder
--- a/tests/decisions/test_differential.py
+++ b/tests/decisions/test_differential.py
@@ -1,7 +1,7 @@
-"""The decisions stay the same to the last digit: digests of all actions over long event streams.
+"""The decisions stay exactly the same: digests of all actions over long event streams.
 
-The digests are those of the program at commit 7e494e6, before its decision module was divided. A change that
-is meant to alter a decision replaces them, and its commit says which decision that is.
+The digests are those of commit 7e494e6, before the decision module was split. A change that is meant to alter
+a decision replaces them, and its commit says which decision that is.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.decisions.event_encoding import load
-from tests.decisions.event_streams import SITES, World, play
+from tests.decisions.event_streams import DEPLOYMENTS, Simulation, replay
 
 SECONDS = 26  # of each generated stream: about 7,000 events, all phases once and the first again
 RECORDED = Path(__file__).parent / "recorded"
@@ -34,25 +34,25 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize(("site", "seed"), GENERATED_DIGESTS)
-def test_generated_streams_lead_to_the_same_actions(site: str, seed: int) -> None:
-    recorder = World(site, seed).run(SECONDS)
-    assert recorder.digest.hexdigest() == GENERATED_DIGESTS[site, seed]
+@pytest.mark.parametrize(("deployment", "seed"), GENERATED_DIGESTS)
+def test_generated_streams_lead_to_the_same_actions(deployment: str, seed: int) -> None:
+    recorder = Simulation(deployment, seed).run(SECONDS)
+    assert recorder.digest.hexdigest() == GENERATED_DIGESTS[deployment, seed]
     assert recorder.count > 7_000
     assert {event[0] for _, events in recorder.events for event in events} == EVENT_KINDS
     assert recorder.kinds >= {"get", "refuse", "fail", "cancel", "timer", "log"}
-    assert ("subscribe" in recorder.kinds) == SITES[site].polls_endpoint_list
+    assert ("subscribe" in recorder.kinds) == DEPLOYMENTS[deployment].polls_endpoint_list
 
 
-@pytest.mark.parametrize("site", RECORDED_DIGESTS)
-def test_recorded_streams_lead_to_the_same_actions(site: str) -> None:
-    recorder = play(site, load(RECORDED / f"{site}.json.gz"), RECORDED_SEED)
-    assert recorder.digest.hexdigest() == RECORDED_DIGESTS[site]
+@pytest.mark.parametrize("deployment", RECORDED_DIGESTS)
+def test_recorded_streams_lead_to_the_same_actions(deployment: str) -> None:
+    recorder = replay(deployment, load(RECORDED / f"{deployment}.json.gz"), RECORDED_SEED)
+    assert recorder.digest.hexdigest() == RECORDED_DIGESTS[deployment]
     assert recorder.count > 4_000
 
 
 @pytest.mark.parametrize(
-    ("module", "name", "site"),
+    ("module", "name", "deployment"),
     [
         ("concurrency", "LIMIT_STEP", "plain"),
         ("endpoints", "POLL_RETRY_INTERVAL", "rich"),
@@ -72,9 +72,9 @@
     ],
 )
 def test_one_constant_changed_by_a_fifth_changes_the_digest(
-    module: str, name: str, site: str, monkeypatch: pytest.MonkeyPatch
+    module: str, name: str, deployment: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rules = importlib.import_module(f"hallproxy.decisions.{module}")
-    monkeypatch.setattr(rules, name, getattr(rules, name) * 0.8)
-    digest = World(site, 1).run(SECONDS).digest.hexdigest()
-    assert digest != GENERATED_DIGESTS[site, 1]
+    rule_module = importlib.import_module(f"hallproxy.decisions.{module}")
+    monkeypatch.setattr(rule_module, name, getattr(rule_module, name) * 0.8)
+    digest = Simulation(deployment, 1).run(SECONDS).digest.hexdigest()
+    assert digest != GENERATED_DIGESTS[deployment, 1]
--- a/tests/decisions/test_latency.py
+++ b/tests/decisions/test_latency.py
@@ -10,13 +10,14 @@
     slow, share = CACHES[0].id, []
     for phase, factor in enumerate((1, 4, 12, 1, 1)):
         first = 1 + 300 * phase
-        for obj in range(first, first + 300):
-            ident = d.request(object_id=obj)
-            own = factor if d.attempts[ident][0].endpoint == slow else 1
+        for object_id in range(first, first + 300):
+            request_id = d.request(object_id=object_id)
+            own_factor = factor if d.attempts[request_id][0].endpoint == slow else 1
             d.now += 20 * MS
-            d.end_attempt(ident, latency=420 * MS * own)
+            d.end_attempt(request_id, latency=420 * MS * own_factor)
         share.append(
-            sum(d.attempts[obj][0].endpoint == slow for obj in range(first + 150, first + 300)) / 150
+            sum(d.attempts[object_id][0].endpoint == slow for object_id in range(first + 150, first + 300))
+            / 150
         )
     assert share[0] > 0.18 and share[1] < 0.75 * share[0] and 0 < share[2] < 0.4 * share[0]
     assert share[4] > 0.75 * share[0]
@@ -28,11 +29,11 @@
     for gateways in (1, 8):
         d = Driver(gateways_by_zone=(0, 0, gateways, 1), gateway_count=gateways + 1)
         bad = CACHES[0].id
-        for obj in range(1, 81):
-            ident = d.request(object_id=obj, size=10.0)
-            at = d.attempts[ident][-1].endpoint
+        for object_id in range(1, 81):
+            request_id = d.request(object_id=object_id, size=10.0)
+            endpoint_id = d.attempts[request_id][-1].endpoint
             d.now += 20 * MS
-            d.end_attempt(ident, latency=(400 if at == bad else 30) * MS)
+            d.end_attempt(request_id, latency=(400 if endpoint_id == bad else 30) * MS)
         d.router.latency.update_typical_slowness()
         weight[gateways] = d.router.latency.weight_factor(d.router.endpoints.by_id[bad])
     assert weight[8] < 0.3 < 0.4 < weight[1]
@@ -41,23 +42,23 @@
 def test_slowness_that_all_share_changes_no_placement() -> None:
     def servers(factor: int) -> list[bytes]:
         d = Driver()
-        for obj in range(1, 100):
-            ident = d.request(object_id=obj)
+        for object_id in range(1, 100):
+            request_id = d.request(object_id=object_id)
             d.now += 400 * MS * factor
-            d.end_attempt(ident, latency=400 * MS * factor)
-        return [d.attempts[obj][0].endpoint for obj in range(1, 100)]
+            d.end_attempt(request_id, latency=400 * MS * factor)
+        return [d.attempts[object_id][0].endpoint for object_id in range(1, 100)]
 
     assert servers(1) == servers(3)
 
 
 def test_where_sizes_are_unknown_a_class_s_sending_time_is_learned_from_its_answers() -> None:
-    """Else all classes have one value density, and small requests wait for large ones."""
+    """Otherwise all classes have the same value density, and small requests wait for large ones."""
     d = Driver()
     for n in range(60):
         for cls, latency in ((0, (700, 900, 2500)[n % 3]), (1, (60, 80, 300)[n % 3])):
-            ident = d.request(object_id=2 * n + cls + 1, class_index=cls, size=0.0)
+            request_id = d.request(object_id=2 * n + cls + 1, class_index=cls, size=0.0)
             d.now += 50 * MS
-            d.end_attempt(ident, latency=latency * MS)
+            d.end_attempt(request_id, latency=latency * MS)
     large, small = d.router.latency.class_sending_times
     assert 0.6 < large < 1.2 and 0.05 < small < 0.12
     large_id, small_id = (
--- a/tests/decisions/test_request_counts.py
+++ b/tests/decisions/test_request_counts.py
@@ -1,4 +1,4 @@
-"""The table of request counts while it ages: requests that wait are not affected."""
+"""The halving of request counts: queued requests are not affected."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     driver = Driver(fleet=())
     request_id = driver.request(object_id=1)
     assert list(driver.router.queue.queued) == [request_id]
-    for repeat in range(4):  # one request halved three times is under the least count
+    for repeat in range(4):  # a count of one, halved three times, is below COUNT_MIN
         overflow_counts(driver, 1_000_000 * (repeat + 1))
     driver.now += 10 * MS
     driver.handle(TimerFired(0))
--- a/tests/decisions/test_router.py
+++ b/tests/decisions/test_router.py
@@ -15,12 +15,12 @@
 
 def test_the_same_events_give_the_same_actions_and_routers_share_no_state() -> None:
     def play(d: Driver) -> list[object]:
-        log: list[object] = []
+        actions: list[object] = []
         for n in range(120):
-            ident = d.request(object_id=n % 17, part=n % 3)
+            request_id = d.request(object_id=n % 17, part=n % 3)
             d.now += 7 * MS
-            log += d.end_attempt(ident, AttemptStatus.ERROR if n % 5 == 0 else AttemptStatus.OK)
-        return [*log, d.attempts]
+            actions += d.end_attempt(request_id, AttemptStatus.ERROR if n % 5 == 0 else AttemptStatus.OK)
+        return [*actions, d.attempts]
 
     alone = play(Driver())
     a, b = Driver(), Driver()
--- a/tests/decisions/test_small_bounds.py
+++ b/tests/decisions/test_small_bounds.py
@@ -1,6 +1,6 @@
-"""Long event streams with every table of the decisions bounded to a few entries.
+"""Long event streams with every table of the decisions limited to a few entries.
 
-So each eviction meets requests that wait or have attempts in flight. Attempts that get no answer end in every
+Evictions then concern requests that are queued or have attempts in flight. Unanswered attempts end in every
 way that a store's connection can end, not only by their deadline.
 """
 
@@ -16,10 +16,10 @@
 from hallproxy import interface as i
 from hallproxy.decisions import purges, recent_values, valuation
 from hallproxy.decisions.endpoint_statistics import EndpointStatistics
-from tests.decisions.event_streams import SITES, Recorder, World
+from tests.decisions.event_streams import DEPLOYMENTS, Recorder, Simulation
 
-SECONDS = 26  # of each stream: all phases once and the first again
-BOUNDS = {"least": (1, 1, 8), "few": (40, 8, 64)}  # objects counted, purges in a table, recent values
+SECONDS = 26  # of each stream: all phases once and the first one again
+BOUNDS = {"least": (1, 1, 8), "few": (40, 8, 64)}  # objects counted, purges per table, recent values
 UNANSWERED_ENDS = (
     i.AttemptStatus.RESET,
     i.AttemptStatus.CONNECT_FAILED,
@@ -31,10 +31,10 @@
 
 
 class AnswerCounter(Recorder):
-    """A recorder that counts the final answers of each request, those of the router and those of caches."""
+    """A recorder that counts the final answers of each request, from the router and from caches."""
 
-    def __init__(self, site: str, seed: int) -> None:
-        super().__init__(site, seed)
+    def __init__(self, deployment: str, seed: int) -> None:
+        super().__init__(deployment, seed)
         self.ends: Counter[int] = Counter()
 
     def handle(self, now: int, events: Sequence[i.Event]) -> list[i.Action]:
@@ -43,22 +43,22 @@
         return actions
 
 
-class HarshWorld(World):
-    """A world that checks the router's tables after each call, and each request's final answer."""
+class FaultySimulation(Simulation):
+    """Checks the router's tables after each call, and counts each request's final answers."""
 
-    def __init__(self, site: str, seed: int) -> None:
-        super().__init__(site, seed)
-        self.recorder: AnswerCounter = AnswerCounter(site, seed)
-        self.drawn_ends = random.Random(f"ends/{site}/{seed}")
+    def __init__(self, deployment: str, seed: int) -> None:
+        super().__init__(deployment, seed)
+        self.recorder: AnswerCounter = AnswerCounter(deployment, seed)
+        self.end_rng = random.Random(f"ends/{deployment}/{seed}")
 
-    def later(self, delay: int, event: i.Event) -> None:
+    def schedule(self, delay: int, event: i.Event) -> None:
         if isinstance(event, i.AttemptEnded) and event.status is i.AttemptStatus.TIMEOUT:
-            delay = int(delay * self.drawn_ends.uniform(0.2, 1.0))
-            event = replace(event, status=self.drawn_ends.choice(UNANSWERED_ENDS), latency=delay)
-        super().later(delay, event)
+            delay = int(delay * self.end_rng.uniform(0.2, 1.0))
+            event = replace(event, status=self.end_rng.choice(UNANSWERED_ENDS), latency=delay)
+        super().schedule(delay, event)
 
     def deliver(self, batch: list[i.Event]) -> None:
-        open_before = set(self.live)
+        open_before = set(self.open_requests)
         super().deliver(batch)
         for event in batch:
             if not isinstance(event, i.AttemptEnded | i.ClientDisconnected):
@@ -92,23 +92,23 @@
 
 def each_stream() -> Iterator[tuple[str, int, str]]:
     for bounds in BOUNDS:
-        for site in SITES:
+        for deployment in DEPLOYMENTS:
             for seed in range(1, 4):
-                yield site, seed, bounds
+                yield deployment, seed, bounds
 
 
-@pytest.mark.parametrize(("site", "seed", "bounds"), each_stream())
+@pytest.mark.parametrize(("deployment", "seed", "bounds"), each_stream())
 def test_no_eviction_or_end_of_an_attempt_breaks_the_decisions(
-    site: str, seed: int, bounds: str, monkeypatch: pytest.MonkeyPatch
+    deployment: str, seed: int, bounds: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against state that an eviction or a hedge dropped while an open request still needed it."""
-    counts, purges_max, recent = BOUNDS[bounds]
-    monkeypatch.setattr(valuation, "COUNTS_MAX", counts)
+    """Guards against an eviction or a hedge dropping state that an open request still needs."""
+    counts_max, purges_max, recent_values_max = BOUNDS[bounds]
+    monkeypatch.setattr(valuation, "COUNTS_MAX", counts_max)
     monkeypatch.setattr(purges, "PURGES_MAX", purges_max)
-    monkeypatch.setattr(recent_values, "RECENT_VALUES_MAX", recent)
-    world = HarshWorld(site, seed)
-    recorder = world.run(SECONDS)
+    monkeypatch.setattr(recent_values, "RECENT_VALUES_MAX", recent_values_max)
+    simulation = FaultySimulation(deployment, seed)
+    recorder = simulation.run(SECONDS)
     assert recorder.kinds >= {"get", "refuse", "fail", "cancel"}
-    assert world.sizes.keys() - world.live == world.recorder.ends.keys()
-    assert set(world.recorder.ends.values()) == {1}
-    assert world.live <= world.recorder.router.requests.keys()
+    assert simulation.sizes_kb.keys() - simulation.open_requests == simulation.recorder.ends.keys()
+    assert set(simulation.recorder.ends.values()) == {1}
+    assert simulation.open_requests <= simulation.recorder.router.requests.keys()
