--- a/hallproxy/decisions/endpoint_statistics.py
+++ b/hallproxy/decisions/endpoint_statistics.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointStatistics:
-    """Observations of one cache, parent or origin; created anew when its process restarts."""
+    """Observations of one cache, parent or origin; replaced when its process restarts."""
 
     endpoint: Endpoint
     hash_seed: int
--- a/hallproxy/decisions/hedging.py
+++ b/hallproxy/decisions/hedging.py
@@ -19,7 +19,7 @@
 from hallproxy.decisions.units import SECOND
 from hallproxy.interface import AttemptEnded, AttemptStatus, Idempotency
 
-OVERDUE_QUANTILE = 0.98  # of recent answer times; an answer that takes longer is slow
+OVERDUE_QUANTILE = 0.98  # an answer is slow if it takes longer than this share of recent ones
 OVERDUE_MULTIPLE = 2  # multiple of a slow answer's time at which an attempt is overdue in any case
 HEDGE_TIME_MULTIPLE = 1.5  # multiple of the typical time that a hedge needs to meet the objective
 LATE_SHARE_MAX = 0.85  # share of overdue attempts still answered, below which lost can be told from late
--- a/hallproxy/decisions/latency.py
+++ b/hallproxy/decisions/latency.py
@@ -80,7 +80,7 @@
         return FIRST_BYTE_DEFAULT
 
     def weight_factor(self, cache: EndpointStatistics) -> float:
-        """Return the part of its placement weight that a slow cache keeps.
+        """Return the factor on the placement weight of a slow cache.
 
         Departure from the design: acts above SLOW_MULTIPLE times the median. Guards against an overloaded
         or degrading cache before anything times out; costs the refill of what moves to other caches.
--- a/hallproxy/decisions/purges.py
+++ b/hallproxy/decisions/purges.py
@@ -25,7 +25,7 @@
 
 
 class PurgeGuard:
-    """Remembers purges of objects and groups, each until all caches have carried it out."""
+    """Remembers purges of objects and groups, each until all caches have executed it."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
--- a/hallproxy/decisions/router.py
+++ b/hallproxy/decisions/router.py
@@ -31,6 +31,7 @@
 
 NOT_TRIED = (i.AttemptStatus.NOT_SENT, i.AttemptStatus.CANCELLED)  # these say nothing about endpoints
 SOURCE_NOT_TRIED = (i.AttemptStatus.FULL, i.AttemptStatus.CONNECT_FAILED, i.AttemptStatus.RESET)
+"""Statuses after which the source does not count as tried."""
 
 
 class Router:
--- a/hallproxy/decisions/valuation.py
+++ b/hallproxy/decisions/valuation.py
@@ -16,9 +16,9 @@
 COUNTS_MAX = 30_000  # objects counted; above it all counts are halved at once
 COUNT_MIN = 0.2  # requests; smaller counts are dropped when counts are halved
 TERM_PRICES = (1.0, 1.0, 1.0)  # unit prices of priority, network saving and startup (the paper's eq. 11)
-TERM_FLOOR = 1e-12  # initial value of the largest terms, which are divisors
+TERM_FLOOR = 1e-12  # initial value of the largest terms, so that no division is by zero
 PASS_THROUGH_BELOW = 0.10  # rank among recent gains below which a copy is not admitted ...
-ADMIT_FROM_COUNT = 2.5  # ... unless the zone's request count reaches this: refetching it costs more
+ADMIT_FROM_COUNT = 2.5  # ... unless the zone's decayed request count reaches this: refetching costs more
 RANK_THRESHOLDS = (0.60, 0.90)  # ranks among recent gains at which the cache ranks 2 and 3 begin
 LINK_USE_INITIAL = 0.5  # used share of the link (the paper's mu) until a load report was received
 LINK_USE_SMOOTHING = 0.3  # weight of one load report
@@ -83,10 +83,10 @@
             size_kb * requests * (delay + self.link_use),
             delay * requests if starts_playback else 0.0,
         )
-        largest = [max(most, term) for most, term in zip(self.largest_terms, terms, strict=True)]
+        largest = [max(previous, term) for previous, term in zip(self.largest_terms, terms, strict=True)]
         self.largest_terms = largest
         normalised = [
-            price * term / most for price, term, most in zip(TERM_PRICES, terms, largest, strict=True)
+            price * term / maximum for price, term, maximum in zip(TERM_PRICES, terms, largest, strict=True)
         ]
         return sum(normalised) / size_kb
 
--- a/hallproxy/interface.py
+++ b/hallproxy/interface.py
@@ -108,7 +108,7 @@
 
 
 class FetchFlags(IntFlag):
-    """How the cache carries out an attempt."""
+    """How the cache handles an attempt."""
 
     NONE = 0
     JOIN = 1  # a fill in flight may be joined
@@ -170,11 +170,11 @@
     parent_overload_multiple: float = 0.0  # these three as above, for parents
     origin_overload_multiple: float = 0.0  # multiple of its capacity at which the origin fails; 0: never
     purge_grace: int = 0  # ns after the notice of a purge, from which answers must obey it
-    purge_duration: int = 0  # ns until all caches have carried out a purge
+    purge_duration: int = 0  # ns until all caches have executed a purge
     weights_known: bool = False  # an endpoint's weight is the number of transfers that its link carries
     fill_detail: FillDetail = FillDetail.NONE
     sibling_scope: Scope = Scope.NONE  # the caches that may be fill sources
-    joins_fills: bool = False
+    joins_fills: bool = False  # an attempt may join a fill in flight
     direct_to_source: bool = False  # a source may answer itself
     health_checks: bool = False
     cancellation: bool = False  # attempts may be cancelled
