--- a/hallproxy/decisions/placement.py
+++ b/hallproxy/decisions/placement.py
@@ -39,7 +39,7 @@
         self._idempotency = IdempotencyRule(context)
 
     def choose_cache(self, entry: RoutedRequest) -> EndpointStatistics | None:
-        """Return the first usable cache in the part's hash order, else one at its load bound, else None.
+        """Return the part's first usable cache in hash order, else one at its bound or ejected, else None.
 
         Departure from the design: a cache at its load bound is skipped for the next one in the order. Guards
         against a hot spot, as when all clients request one part at once; costs a second fill of that part.
--- a/hallproxy/decisions/queueing.py
+++ b/hallproxy/decisions/queueing.py
@@ -64,7 +64,7 @@
         self.queued = deque(entry.request.id for entry in entries)
 
     def expired(self) -> Iterator[RoutedRequest]:
-        """Yield the requests whose time has expired; past their queue time only those without an attempt."""
+        """Yield the expired requests; one with an attempt in flight expires only at its deadline."""
         now = self._context.now
         while self.deadlines and self.deadlines[0][0] <= now:
             entry = self._requests.get(heapq.heappop(self.deadlines)[1])
