--- a/hallproxy/wire/frames.py
+++ b/hallproxy/wire/frames.py
@@ -1,4 +1,4 @@
-"""The clients' binary frames: parsed in place out of a connection's buffer, written as gathered pieces."""
+"""The clients' binary frames, parsed in place in a connection's buffer and encoded as pieces to gather."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from hallproxy import interface as i
 from hallproxy.state.events import ClientRequest, Response, ResponseKind
 
-HEAD = struct.Struct(">IBI")  # length (of all that follows it), kind, stream
+HEAD = struct.Struct(">IBI")  # length (of what follows it), kind, stream
 SIZE = struct.Struct(">I")
-# By the length field, which does not count itself.
+# As in the length field, which does not count itself.
 MIN_FRAME_BYTES, MAX_FRAME_BYTES = 5, 262_144
-MAX_REQUEST_FRAME_BYTES = 65_536  # a client's frame: its body and all that fields can usefully hold
+MAX_REQUEST_FRAME_BYTES = 65_536  # a client's frame: its body and the largest useful fields
 MAX_BODY_BYTES = 48_000  # of a client's frame
 REQUEST, RESPONSE, CANCEL, READINESS_REQUEST, READINESS_RESPONSE, GO_AWAY = 65, 66, 67, 80, 81, 90
 SERVED, REJECTED, FAILED = 79, 66, 69
 MAX_SIZE_KB = 1e6  # of a part
-MAX_PART = 65_535
-MAX_TTL_DEADLINES = 4  # times the class's deadline that a client may wait at most
+MAX_PART = 65_535  # part number of an object
+MAX_TTL_DEADLINES = 4  # a request's longest ttl, in deadlines of its class
 RESPONSE_CODES = {ResponseKind.SERVED: SERVED, ResponseKind.REJECTED: REJECTED, ResponseKind.FAILED: FAILED}
 MS = 1_000_000
 _HEX = re.compile(r"[0-9a-fA-F]+")
 _TOKEN = re.compile(r"[0-9A-Za-z._~:+/=-]{1,128}")
-# ns of a client's wait, which counts from when it sent, that pass on the way here and back
+# ns of a client's ttl, which counts from the sending of the request, for the network both ways
 TRANSIT_ALLOWANCE = 4 * MS
 
 
 class FrameError(ValueError):
-    """Bytes that are no frame: the connection can't go on."""
+    """Bytes that are not a valid frame: the connection can't continue."""
 
 
 class FieldError(ValueError):
-    """A complete frame whose fields don't make a request: the stream gets an error response."""
+    """A complete frame with invalid fields: only its stream gets an error response."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,7 +52,7 @@
         return None
     (length,) = SIZE.unpack_from(buffer)
     if not MIN_FRAME_BYTES <= length <= MAX_REQUEST_FRAME_BYTES:
-        raise FrameError(f"a frame of {length} bytes")
+        raise FrameError(f"frame length {length} is not from {MIN_FRAME_BYTES} to {MAX_REQUEST_FRAME_BYTES}")
     end = SIZE.size + length
     if len(buffer) < end:
         return None
@@ -80,15 +80,15 @@
             start = at + 2
             at = start + (payload[at] << 8 | payload[at + 1])
             fields[name] = str(payload[start:at], "utf-8")
-        if at > len(payload):  # a slice past the end is merely short
+        if at > len(payload):  # a slice past the end raises nothing
             raise IndexError
     except (IndexError, UnicodeDecodeError):
-        raise FieldError("fields that can't be read") from None
+        raise FieldError("fields are truncated or not UTF-8") from None
     return fields, payload[at:]
 
 
 def encode_fields(fields: Mapping[str, str]) -> bytes:
-    """The fields as they stand at the start of a payload."""
+    """The fields as encoded at the start of a payload."""
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
         raw = value.encode()
@@ -97,40 +97,40 @@
 
 
 def _hex(text: str, digits: int, name: str) -> int:
-    # int() alone would also take signs, blanks and underscores
+    # int() alone would also accept signs, blanks and underscores
     if len(text) != digits or _HEX.fullmatch(text) is None:
         raise FieldError(f"{name} is not {digits} hex digits")
     return int(text, 16)
 
 
-def _number(fields: Mapping[str, str], name: str, least: int, most: int) -> int:
+def _number(fields: Mapping[str, str], name: str, minimum: int, maximum: int) -> int:
     text = fields.get(name, "")
-    if not (text.isascii() and text.isdigit() and len(text) < 12 and least <= int(text) <= most):
-        raise FieldError(f"{name} is not a number from {least} to {most}")
+    if not (text.isascii() and text.isdigit() and len(text) < 12 and minimum <= int(text) <= maximum):
+        raise FieldError(f"{name} is not a number from {minimum} to {maximum}")
     return int(text)
 
 
 def decode_request(payload: memoryview, classes: Mapping[str, int], settings: i.Settings) -> ClientRequest:
-    """A request from a frame's payload; FieldError where a field is missing or makes no sense.
+    """A request from a frame's payload; FieldError where a field is missing or invalid.
 
-    ``classes`` has the index in ``settings`` of each class's name.
+    ``classes`` maps each class's name to its index in ``settings``.
     """
     fields, body = decode_fields(payload)
     class_index = classes.get(fields.get("op", ""))
     if class_index is None:
-        raise FieldError("op names no class")
+        raise FieldError("op is not the name of a class")
     request_id, name = fields.get("call", ""), fields.get("row", "")
     _hex(request_id, 16, "call")
     size_kb = _size_kb(fields)
     if len(body) > MAX_BODY_BYTES:
-        raise FieldError(f"a body of more than {MAX_BODY_BYTES} bytes")
+        raise FieldError(f"body exceeds {MAX_BODY_BYTES} bytes")
     key = fields.get("dedupe", "")
     client_etag = fields.get("got", "")
     if not _is_token(key) or not _is_token(client_etag):
-        raise FieldError("dedupe or got holds what no header can")
+        raise FieldError("dedupe or got is not a token of 1 to 128 characters valid in a header")
     request_class = settings.classes[class_index]
     if request_class.idempotency is i.Idempotency.IDEMPOTENCY_KEY and not key:
-        raise FieldError("dedupe is missing: without it this class can't be repeated")
+        raise FieldError("dedupe is missing, and this class can't be retried without it")
     ttl = _number(fields, "ttl", 1, MAX_TTL_DEADLINES * request_class.deadline // MS)
     return ClientRequest(
         request_id=request_id,
@@ -155,7 +155,7 @@
     except ValueError:
         size_kb = -1.0
     if not 0 <= size_kb <= MAX_SIZE_KB:  # also rejects nan
-        raise FieldError("heap is not a size")
+        raise FieldError(f"heap is not a number of KB from 0 to {MAX_SIZE_KB:.0f}")
     return size_kb
 
 
@@ -164,7 +164,7 @@
 
 
 def encode_response(stream: int, response: Response) -> list[bytes]:
-    """The pieces of a response's frame: the head, then the body as it is."""
+    """The pieces of a response's frame: the head, then the body unchanged."""
     fields: dict[str, str] = {}
     if response.not_modified:
         fields["ok304"] = "1"
@@ -182,5 +182,5 @@
 
 
 def encode_error(text: str, stream: int = 0) -> list[bytes]:
-    """The pieces of a response that says in words what was wrong with the input."""
+    """The pieces of an error response, with a text that describes the invalid input."""
     return encode_frame(RESPONSE, stream, bytes((FAILED,)) + encode_fields({"error": text}))
--- a/hallproxy/wire/http1.py
+++ b/hallproxy/wire/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages as far as the gateway uses them: heads parsed in place, bodies by length or chunks."""
+"""The subset of HTTP/1.1 that the gateway uses: heads parsed in place, bodies with a length or chunked."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-MAX_HEAD_BYTES = 16_384  # bytes of a head
+MAX_HEAD_BYTES = 16_384
 MAX_BODY_BYTES = 64 * 1024 * 1024
 _STATUS = re.compile(rb"HTTP/1\.([01]) (\d{3})(?: [^\r\n]*)?\r\n")
 _REQUEST = re.compile(rb"([A-Z]{1,16}) ([!-~]{1,8192}) HTTP/1\.([01])\r\n")
@@ -14,12 +14,12 @@
 
 
 class HttpError(ValueError):
-    """Bytes that are no HTTP/1.1 message of a supported kind."""
+    """Bytes that are not a valid HTTP/1.1 message of a supported kind."""
 
 
 @dataclass(slots=True, frozen=True)
 class Head:
-    """A message's start line and fields; names are in lower case. ``size`` is the head's on the wire."""
+    """A message's start line and fields, with names in lower case; ``size``: the head's bytes on the wire."""
 
     size: int
     fields: Mapping[str, str]
@@ -36,23 +36,23 @@
 
     @property
     def chunked(self) -> bool:
-        """Whether the body comes in chunks."""
+        """Whether the body has the chunked transfer coding."""
         return self.fields.get("transfer-encoding", "").lower() == "chunked"
 
     @property
     def body_length(self) -> int | None:
-        """The body's length in bytes; None: until the chunks or the connection end."""
+        """The body's length in bytes; None: it ends with the last chunk or the connection."""
         if self.status in (204, 304) or 100 <= self.status < 200:
             return 0
         if "transfer-encoding" in self.fields:
             if not self.chunked:
-                raise HttpError("a transfer coding other than chunked")
+                raise HttpError("Transfer-Encoding is not chunked")
             return None
         text = self.fields.get("content-length")
         if text is None:
             return 0 if self.method else None
         if not (text.isascii() and text.isdigit() and len(text) < 12):
-            raise HttpError("a length that is no number")
+            raise HttpError("Content-Length is not a number of at most 11 digits")
         return int(text)
 
 
@@ -63,7 +63,7 @@
         return None
     start = _STATUS.match(buffer, 0, end)
     if start is None:
-        raise HttpError("no status line")
+        raise HttpError("status line of an HTTP/1.x response is missing or malformed")
     return Head(end, _fields(buffer, start.end(), end), status=int(start[2]), minor_version=int(start[1]))
 
 
@@ -74,7 +74,7 @@
         return None
     start = _REQUEST.match(buffer, 0, end)
     if start is None:
-        raise HttpError("no request line")
+        raise HttpError("request line is malformed")
     return Head(
         end,
         _fields(buffer, start.end(), end),
@@ -88,7 +88,7 @@
     at = buffer.find(b"\r\n\r\n", 0, filled)
     if at < 0:
         if filled >= MAX_HEAD_BYTES:
-            raise HttpError("a head that is too long")
+            raise HttpError(f"head exceeds {MAX_HEAD_BYTES} bytes")
         return None
     return at + 4
 
@@ -98,23 +98,23 @@
     while at < end - 2:
         field = _FIELD.match(buffer, at, end)
         if field is None:
-            raise HttpError("a header line that can't be read")
+            raise HttpError("header line is malformed")
         name, value = field[1].decode().lower(), field[2].decode("latin-1")
         if name in fields:
-            # Two lengths are how messages are smuggled past a proxy; other repeats make a list.
+            # Guards against request smuggling with two lengths; other repeated fields form a list.
             if name in ("content-length", "transfer-encoding"):
-                raise HttpError(f"two of {name}")
+                raise HttpError(f"repeated header {name}")
             value = f"{fields[name]}, {value}"
         fields[name] = value
         at = field.end()
     if "content-length" in fields and "transfer-encoding" in fields:
-        raise HttpError("a length and a coding")
+        raise HttpError("both Content-Length and Transfer-Encoding are present")
     return fields
 
 
 def decode_chunk_size(line: bytes) -> int:
-    """The chunk's size in bytes by its first line, whose extensions are skipped."""
+    """The chunk's size in bytes from its first line; chunk extensions are ignored."""
     text = line.split(b";")[0].strip()
     if not re.fullmatch(rb"[0-9A-Fa-f]{1,8}", text):
-        raise HttpError("a chunk size that can't be read")
+        raise HttpError("chunk size is not 1 to 8 hex digits")
     return int(text, 16)
--- a/hallproxy/wire/simulator_actions.py
+++ b/hallproxy/wire/simulator_actions.py
@@ -1,7 +1,7 @@
 """The simulator's replies: actions encoded into its binary frames.
 
-A reply is a header, records of a fixed size and a tail that holds texts which records point into. All numbers
-are little-endian; the first byte of a record is its kind.
+A reply is a header, fixed-size records and a tail with the texts that records refer to. All numbers are
+little-endian; the first byte of a record is its kind.
 """
 
 from __future__ import annotations
@@ -42,14 +42,14 @@
 
 @dataclass(slots=True)
 class InstanceActions:
-    """What one instance does, in its order."""
+    """One instance's actions, in order."""
 
     instance: int
     actions: list[i.Action]
 
 
 def encode_reply(number: int, replies: Iterable[InstanceActions]) -> bytes:
-    """The reply to one batch: each instance's actions, in their order."""
+    """The reply to one batch: each instance's actions, in order."""
     records: list[bytes] = []
     tail = bytearray()
     for reply in replies:
@@ -60,7 +60,7 @@
 
 
 def encode_fault(number: int, instance: int, text: str) -> bytes:
-    """A reply that says that an instance's decision code failed."""
+    """A reply that reports a failure of an instance's decision code."""
     data = text.encode()
     records = [
         _INSTANCE_OF_REPLY_RECORD.pack(_INSTANCE_OF_REPLY, instance),
@@ -129,4 +129,4 @@
     i.PollEndpointList: _poll_endpoint_list,
     i.Log: _log,
 }
-"""Encoders of actions, by type; each takes the action and the reply's tail, which it may add to."""
+"""Encoders of actions, by type; each takes the action and the reply's tail, which it may extend."""
--- a/hallproxy/wire/simulator_events.py
+++ b/hallproxy/wire/simulator_events.py
@@ -1,7 +1,7 @@
 """The simulator's batches of events, decoded from its binary frames.
 
-A batch is a header, records of a fixed size and a tail that holds lists and texts which records point into.
-All numbers are little-endian; the first byte of a record is its kind.
+A batch is a header, fixed-size records and a tail with the lists and texts that records refer to. All numbers
+are little-endian; the first byte of a record is its kind.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
 
 class WireError(ValueError):
-    """A frame that does not follow the wire's description."""
+    """A frame that does not conform to the simulator's protocol."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class InstanceEvents:
-    """What happened to one instance, in its order."""
+    """One instance's events, in order."""
 
     instance: int
     events: list[WireEvent]
@@ -101,23 +101,23 @@
 
 
 def read_frame(read: Callable[[int], bytes]) -> bytes | None:
-    """The next complete frame from a blocking reader, None at a clean end of input."""
+    """The next complete frame from a blocking reader; None at the end of input between frames."""
     header = read(_BATCH_HEADER.size)
     if not header:
         return None
     if len(header) < _BATCH_HEADER.size:
-        raise WireError("input ended inside a batch header")
+        raise WireError("input ended in a batch header")
     length = _BATCH_HEADER.unpack(header)[1]
     if length < _BATCH_HEADER.size:
-        raise WireError(f"batch length {length} is shorter than a header")
+        raise WireError(f"batch length {length} is less than a header's")
     body = read(length - _BATCH_HEADER.size)
     if len(body) < length - _BATCH_HEADER.size:
-        raise WireError("input ended inside a batch")
+        raise WireError("input ended in a batch")
     return header + body
 
 
 class Decoder:
-    """Frames into batches. It remembers the numbered endpoint lists, which are sent apart from their use."""
+    """Decodes frames into batches. Keeps the numbered endpoint lists, which later events refer to."""
 
     __slots__ = ("_lists",)
 
@@ -125,7 +125,7 @@
         self._lists: dict[int, tuple[i.Endpoint, ...]] = {}
 
     def batch(self, frame: bytes) -> EventBatch:
-        """Decode one complete frame; WireError where it can't be read."""
+        """Decode one complete frame; WireError where it is malformed."""
         if len(frame) < _BATCH_HEADER.size:
             raise WireError("batch is shorter than its header")
         number, length, now, count = _BATCH_HEADER.unpack_from(frame)
@@ -141,7 +141,7 @@
                 list_number, offset, size = _ENDPOINT_LIST_RECORD.unpack_from(frame, start)
                 self._lists[list_number] = _endpoints(frame, tail + offset, size)
             elif not instances:
-                raise WireError(f"batch {number}: an event before any instance was named")
+                raise WireError(f"batch {number}: an event record precedes the first instance record")
             else:
                 instances[-1].events.append(self._event(kind, frame, start, tail))
         return EventBatch(number, now, instances)
@@ -249,7 +249,7 @@
 
 def _slice(frame: bytes, start: int, size: int) -> bytes:
     if start + size > len(frame):
-        raise WireError("a field points past the end of the frame")
+        raise WireError("a record refers past the end of the frame")
     return frame[start : start + size]
 
 
@@ -258,6 +258,6 @@
     endpoints = []
     for started_at, cell, state, kind, zone, weight, ident in _ENDPOINT_ENTRY.iter_unpack(entries):
         if state > i.EndpointState.READY:
-            raise WireError(f"unknown member state {state}")
+            raise WireError(f"unknown endpoint state {state}")
         endpoints.append(i.Endpoint(ident, i.EndpointState(state), kind, zone, cell, weight, started_at))
     return tuple(endpoints)
--- a/hallproxy/wire/stores.py
+++ b/hallproxy/wire/stores.py
@@ -1,4 +1,4 @@
-"""Requests to the platform's endpoints and their responses: HTTP/1.1, one at a time on a connection."""
+"""Requests to the platform's endpoints and their responses: HTTP/1.1 without pipelining."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-STALL_SHARE = 0.25  # of the shortest latency objective
-MIN_STALL_S = 0.03
+STALL_SHARE = 0.25  # stall timeout as a fraction of the shortest latency objective, ...
+MIN_STALL_S = 0.03  # ...but at least this
 MAX_BODY_BYTES = 300_000  # of an object's part; a longer response is not read
 
 
 def encode_request_head(request: UpstreamRequest, host: str, settings: i.Settings) -> bytes:
-    """The head of the request, to be written ahead of its body."""
+    """The head of the request, to be written before its body."""
     name = settings.classes[request.class_index].name
-    # Every class goes out as GET, also one with a body: an endpoint answers 400 to a POST.
+    # Every class is sent as GET, even with a body: an endpoint responds 400 to a POST.
     lines = [
         f"GET /v2/q/{name}/{request.name}/{request.part} HTTP/1.1",
         f"Host: {host}",
@@ -39,7 +39,7 @@
         ("r", request.revalidate),
     )
     if any(on for _, on in flags):
-        lines.append("X-Flags: " + "+".join(word for word, on in flags if on))
+        lines.append("X-Flags: " + "+".join(letter for letter, on in flags if on))
     if request.client_etag:
         lines.append(f"If-None-Match: {request.client_etag}")
     if request.body:
@@ -48,7 +48,7 @@
 
 
 def decode_response(head: Head, body: bytes, settings: i.Settings) -> AttemptResult:
-    """A complete response. What the protocol does not name may have run, so it counts as an error."""
+    """The result of a complete response. With an unexpected status the request may have run: an error."""
     load = decode_load_report(head.fields.get("x-report", ""), settings.report_fields)
     if head.status in (200, 304):
         return AttemptResult(
@@ -63,7 +63,7 @@
 
 
 def _generated_at(text: str) -> int:
-    """The time (ns) that ``text`` tells in milliseconds; 0 where it tells none."""
+    """The time (ns) that ``text`` gives in ms; 0 if it is not a valid number."""
     return int(text) * MS if text.isascii() and text.isdigit() and len(text) < 16 else 0
 
 
@@ -88,9 +88,9 @@
 
     @property
     def stall_timeout(self) -> float:
-        """s without a byte after which a response that has begun counts as stalled.
+        """Seconds without a byte after which a response that has begun counts as stalled.
 
-        A share of the shortest latency objective: a retry may still be in time then.
+        A fraction of the shortest latency objective, so that a retry can still be in time.
         """
         return max(
             MIN_STALL_S, STALL_SHARE * min(c.latency_objective for c in self.settings.classes) / SECOND
@@ -101,19 +101,19 @@
         return encode_request_head(request, host, self.settings)
 
     def tls(self, _host: str) -> None:
-        """None: the platform's endpoints use plain HTTP on its own network."""
+        """None: the platform's endpoints use plain HTTP, on its own network."""
 
     def read(
         self, request: UpstreamRequest, head: Head, body: bytes, _sent_at: int, _host: str = ""
     ) -> AttemptResult:
         """The response; HttpError for a 304 to a request without a condition."""
         if head.status == 304 and not request.client_etag:
-            raise HttpError("an answer 'unchanged' to a request that named no copy")
+            raise HttpError("status 304 in response to an unconditional request")
         return decode_response(head, body, self.settings)
 
 
 def decode_load_report(text: str, names: tuple[str, ...]) -> tuple[float, ...]:
-    """``inflight:7;util:0.61`` in the order of the settings' names; what is missing or unknown is skipped."""
+    """The values of ``inflight:7;util:0.61`` in the order of ``names``: NaN if missing, others ignored."""
     loads: dict[str, float] = {}
     for part in text.split(";") if text else ():
         name, _, value = part.partition(":")
--- a/tests/wire/test_changelog.py
+++ b/tests/wire/test_changelog.py
@@ -26,20 +26,20 @@
         '{"results":[{"seq":1,"fleet":{"instances":[{"instanceId":"s"}]}}]}',
     ],
 )
-def test_bad_news(page: str) -> None:
+def test_a_malformed_page_raises_an_error(page: str) -> None:
     with pytest.raises(changelog.ChangeLogError):
         list(changelog.decode_events(changelog.decode_page(page), 0, SETTINGS, 1))
 
 
-def test_every_field_of_a_list_event_has_its_place() -> None:
-    lines = [
+def test_every_field_of_a_list_event_is_decoded() -> None:
+    instances = [
         {
             "instanceId": "s-1", "lifecycle": lifecycle, "zone": "here", "machineType": "parent", "cell": 4,
             "weight": 1.5, "startedAtMs": 6, "hostPort": "10.0.0.1:80",
         }
         for lifecycle in ("Ready", "Terminating", "Gone")
     ]  # fmt: skip
-    page = {"results": [{"seq": 3, "fleet": {"generation": 7, "reset": True, "instances": lines}}]}
+    page = {"results": [{"seq": 3, "fleet": {"generation": 7, "reset": True, "instances": instances}}]}
     (event,) = changelog.decode_events(page, 2, SETTINGS, now=9)
     endpoints = tuple(
         Endpoint(b"s-1", state, 1, 0, 4, 1.5, 6_000_000)
@@ -49,7 +49,7 @@
     assert event == (3, EndpointListUpdated(9, change, ("10.0.0.1:80",) * 3))
 
 
-def test_every_field_of_a_purge_has_its_place() -> None:
+def test_every_field_of_a_purge_is_decoded() -> None:
     page = {"results": [
         {"seq": 1, "invalidate": {"object": "ff", "bucket": 3, "time": 5}},
         {"seq": 2, "invalidate": {"object": "", "bucket": 4, "time": 5}},
--- a/tests/wire/test_frames.py
+++ b/tests/wire/test_frames.py
@@ -14,12 +14,12 @@
 
 SETTINGS = settings_from_json(json.dumps(platform_settings()).encode())
 CLASSES = {c.name: n for n, c in enumerate(SETTINGS.classes)}
-GOOD = {"op": "segment", "call": "9b1f03aa5c7e2d41", "ttl": "1500", "row": "7f3a9c21e0b4d655", "nth": "3",
-        "batch": "17", "heap": "412.5"}  # fmt: skip
+VALID_FIELDS = {"op": "segment", "call": "9b1f03aa5c7e2d41", "ttl": "1500", "row": "7f3a9c21e0b4d655",
+                "nth": "3", "batch": "17", "heap": "412.5"}  # fmt: skip
 
 
 @pytest.mark.parametrize(
-    ("raw", "found"),
+    ("raw", "expected"),
     [
         (b"", None),
         (b"\0\0\0", None),
@@ -30,17 +30,17 @@
         (b"\0\x04\0\x01....", frames.FrameError),
     ],
 )
-def test_frames(raw: bytes, found: Any) -> None:
-    if found is frames.FrameError:
+def test_frames(raw: bytes, expected: Any) -> None:
+    if expected is frames.FrameError:
         with pytest.raises(frames.FrameError):
             frames.next_frame(memoryview(raw))
     else:
         frame = frames.next_frame(memoryview(raw))
-        assert (frame and (frame[0].kind, frame[0].stream, bytes(frame[0].payload))) == found
+        assert (frame and (frame[0].kind, frame[0].stream, bytes(frame[0].payload))) == expected
 
 
 @pytest.mark.parametrize(
-    ("changed", "says"),
+    ("changes", "error"),
     [
         ({}, ""),
         ({"rep": "1", "dedupe": "k1", "got": "t1"}, ""),
@@ -58,24 +58,33 @@
         ({"got": "a b"}, "got"),
     ],
 )
-def test_requests(changed: dict[str, str], says: str) -> None:
-    payload = memoryview(frames.encode_fields(GOOD | changed) + b"body")
-    if says:
-        with pytest.raises(frames.FieldError, match=says):
+def test_requests(changes: dict[str, str], error: str) -> None:
+    payload = memoryview(frames.encode_fields(VALID_FIELDS | changes) + b"body")
+    if error:
+        with pytest.raises(frames.FieldError, match=error):
             frames.decode_request(payload, CLASSES, SETTINGS)
     else:
-        asked = frames.decode_request(payload, CLASSES, SETTINGS)
-        assert (asked.request_id, asked.name, asked.part, asked.group) == (GOOD["call"], GOOD["row"], 3, 17)
-        assert (asked.object, asked.time_left, asked.body) == (0x7F3A9C21E0B4D655, 1_496_000_000, b"body")
+        request = frames.decode_request(payload, CLASSES, SETTINGS)
+        assert (request.request_id, request.name, request.part, request.group) == (
+            VALID_FIELDS["call"],
+            VALID_FIELDS["row"],
+            3,
+            17,
+        )
+        assert (request.object, request.time_left, request.body) == (
+            0x7F3A9C21E0B4D655,
+            1_496_000_000,
+            b"body",
+        )
 
 
 @pytest.mark.parametrize("payload", [b"", b"\x01", b"\x01\x05ab", b"\x01\x01a\0\x09x", b"\x01\x01\xff\0\0"])
-def test_fields_that_break_off(payload: bytes) -> None:
+def test_truncated_fields(payload: bytes) -> None:
     with pytest.raises(frames.FieldError):
         frames.decode_fields(memoryview(payload))
 
 
-def test_every_field_of_a_request_has_its_place() -> None:
+def test_every_field_of_a_request_is_decoded() -> None:
     fields = {
         "op": "close", "call": "9b1f03aa5c7e2d41", "ttl": "1500", "row": "7f3a9c21e0b4d655", "nth": "3",
         "batch": "17", "heap": "412.5", "rep": "1", "dedupe": "key-1", "got": "tag-1",
@@ -113,15 +122,15 @@
         (Response(ResponseKind.FAILED), b"\0\0\0\x07\x42\0\0\0\x07\x45\0"),
     ],
 )
-def test_every_kind_of_response_has_its_bytes(response: Response, frame: bytes) -> None:
+def test_every_kind_of_response_is_encoded(response: Response, frame: bytes) -> None:
     assert b"".join(frames.encode_response(7, response)) == frame
 
 
-def test_an_error_says_in_words_what_was_wrong() -> None:
+def test_an_error_response_has_its_text() -> None:
     assert b"".join(frames.encode_error("no", 7)) == b"\0\0\0\x11\x42\0\0\0\x07\x45\x01\x05error\0\x02no"
 
 
-def test_kinds_of_frames_have_their_numbers() -> None:
+def test_numbers_of_the_kinds_of_frames() -> None:
     kinds = (
         frames.REQUEST,
         frames.RESPONSE,
--- a/tests/wire/test_http1.py
+++ b/tests/wire/test_http1.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "found"),
+    ("raw", "expected"),
     [
         (b"HTTP/1.1 200 OK\r\nContent-Le", None),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 12\r\nX-A: b\r\n\r\n", (200, 12, True)),
@@ -26,13 +26,13 @@
         (b"x" * http1.MAX_HEAD_BYTES, http1.HttpError),
     ],
 )
-def test_response_heads(raw: bytes, found: Any) -> None:
-    if found is http1.HttpError:
+def test_response_heads(raw: bytes, expected: Any) -> None:
+    if expected is http1.HttpError:
         with pytest.raises(http1.HttpError):
             assert (head := http1.decode_response_head(bytearray(raw), len(raw))) and head.body_length
     else:
         head = http1.decode_response_head(bytearray(raw), len(raw))
-        assert (head and (head.status, head.body_length, head.keep_alive)) == found
+        assert (head and (head.status, head.body_length, head.keep_alive)) == expected
 
 
 @pytest.mark.parametrize(
--- a/tests/wire/test_simulator_actions.py
+++ b/tests/wire/test_simulator_actions.py
@@ -1,4 +1,4 @@
-"""The simulator's replies against byte layouts."""
+"""The simulator's replies against their byte layouts."""
 
 from __future__ import annotations
 
@@ -67,14 +67,14 @@
         (PollEndpointList(), struct.pack("<BB", 75, 1), b""),
     ],
 )
-def test_every_kind_of_action_has_its_record(action: Action, record: bytes, tail: bytes) -> None:
+def test_every_kind_of_action_is_encoded(action: Action, record: bytes, tail: bytes) -> None:
     reply = encode_reply(5, [InstanceActions(3, [action])])
     instance = struct.pack("<BH", 78, 3).ljust(40, b"\0")
     body = instance + record.ljust(40, b"\0") + tail
     assert reply == struct.pack("<III", 5, 2, 12 + len(body)) + body
 
 
-def test_a_fault_has_its_record_and_its_text() -> None:
+def test_a_fault_is_encoded_with_its_text() -> None:
     instance = struct.pack("<BH", 78, 3).ljust(40, b"\0")
     body = instance + struct.pack("<BII", 74, 0, 4).ljust(40, b"\0") + b"why?"
     assert encode_fault(5, 3, "why?") == struct.pack("<III", 5, 2, 12 + len(body)) + body
--- a/tests/wire/test_simulator_events.py
+++ b/tests/wire/test_simulator_events.py
@@ -1,4 +1,4 @@
-"""The simulator's batches against byte layouts."""
+"""The simulator's batches against their byte layouts."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 
 
 def test_events_decode_field_by_field() -> None:
-    call = bytes.fromhex(
+    request = bytes.fromhex(
         "03c4913a5d370c0c000100000000640ad2557c3bf0910000304100000040400000204400" "1c4e0e00000000"
     )
-    event = decode(call)
+    event = decode(request)
     assert isinstance(event, Request)
     assert (event.id, event.group, event.class_index, event.part, event.size_kb) == (
         0xC0C375D3A91C4,
@@ -45,28 +45,30 @@
         640.0,
     )
     assert event.time_left == 240_000_000 and not event.is_retry and not event.is_write
-    back = bytes.fromhex("04c4913a5d370c0c000a124a075b1b0000c06e8f0000000000a0491a01000000000100000200000000")
-    assert decode(back) == AttemptEnded(
+    attempt_ended = bytes.fromhex(
+        "04c4913a5d370c0c000a124a075b1b0000c06e8f0000000000a0491a01000000000100000200000000"
+    )
+    assert decode(attempt_ended) == AttemptEnded(
         0xC0C375D3A91C4, 0, ENDPOINT, AttemptStatus.OK, 18500000, True, 2, 9400000, ()
     )
-    first = bytes.fromhex("0ac4913a5d370c0c0000000a124a075b1bd0248d0000000000")
-    assert decode(first) == StreamStarted(0xC0C375D3A91C4, 0, ENDPOINT, 9250000)
-    pong = struct.pack("<B6sHQB4f", 2, ENDPOINT, 0, 1400000, 1, 0.5, 0, 0, 0)
-    assert decode(pong) == HealthCheckEnded(ENDPOINT, AttemptStatus.OK, 1400000, (0.5,))
+    stream_started = bytes.fromhex("0ac4913a5d370c0c0000000a124a075b1bd0248d0000000000")
+    assert decode(stream_started) == StreamStarted(0xC0C375D3A91C4, 0, ENDPOINT, 9250000)
+    health_check_ended = struct.pack("<B6sHQB4f", 2, ENDPOINT, 0, 1400000, 1, 0.5, 0, 0, 0)
+    assert decode(health_check_ended) == HealthCheckEnded(ENDPOINT, AttemptStatus.OK, 1400000, (0.5,))
     assert decode(struct.pack("<BQHQ", 6, 77, 11, 17)) == ObjectPurged(77, 11, 17)
 
 
-def test_lists_are_resolved_in_the_order_of_events() -> None:
+def test_lists_are_resolved_in_the_order_of_records() -> None:
     entry = bytes.fromhex("009d966b01000000000002000100" + "0000c03f" + "0a9011f2841b")
-    catalog = struct.pack("<BBII", 12, 0, 0, 1)
-    member = struct.pack("<BIBB", 7, 41, 0, 2)
-    event = Decoder().batch(batch_frame([catalog, INSTANCE_3, member], entry)).instances[0].events[0]
+    list_record = struct.pack("<BBII", 12, 0, 0, 1)
+    change = struct.pack("<BIBB", 7, 41, 0, 2)
+    event = Decoder().batch(batch_frame([list_record, INSTANCE_3, change], entry)).instances[0].events[0]
     assert isinstance(event, EndpointsChanged) and event.kind is EndpointListKind.CACHED
-    line = event.endpoints[0]
-    assert (line.id, line.state, line.zone, line.weight) == (
+    endpoint = event.endpoints[0]
+    assert (endpoint.id, endpoint.state, endpoint.zone, endpoint.weight) == (
         bytes.fromhex("0a9011f2841b"), EndpointState.READY, 1, 1.5,
     )  # fmt: skip
-    assert line.started_at == 6100000000
+    assert endpoint.started_at == 6100000000
 
 
 @pytest.mark.parametrize(
@@ -114,7 +116,7 @@
         (struct.pack("<BHII", 13, 3, 1, 2), GossipReceived(3, b"ab")),
     ],
 )
-def test_every_kind_of_event_has_its_record(record: bytes, event: Event | InstanceKilled) -> None:
+def test_every_kind_of_event_is_decoded(record: bytes, event: Event | InstanceKilled) -> None:
     assert decode(record, b"-ab-") == event
 
 
@@ -132,6 +134,6 @@
         (125, AttemptStatus.CANCELLED),
     ],
 )
-def test_every_status_has_its_code(code: int, status: AttemptStatus) -> None:
+def test_every_status_is_decoded_from_its_code(code: int, status: AttemptStatus) -> None:
     event = decode(struct.pack("<B6sHQB4f", 2, ENDPOINT, code, 0, 0, 0, 0, 0, 0))
     assert event == HealthCheckEnded(ENDPOINT, status, 0, ())
--- a/tests/wire/test_simulator_settings.py
+++ b/tests/wire/test_simulator_settings.py
@@ -1,4 +1,4 @@
-"""The settings' outer names and their faults."""
+"""Decoding of the settings: external names, defaults and errors."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
             settings_from_json(json.dumps(broken).encode())
 
 
-OUTER: dict[str, Any] = {
+ALL_OPTIONS: dict[str, Any] = {
     "zone": 1,
     "me": 2,
     "group_size": 3,
@@ -71,7 +71,7 @@
     ],
 }  # fmt: skip
 
-INNER = Settings(
+EXPECTED = Settings(
     classes=(
         RequestClass(
             latency_objective=30,
@@ -150,36 +150,36 @@
 OPTIONAL = {"zones", "models", "idle_close_ns", "aim_stretch", "name"}
 
 
-def test_every_outer_name_has_its_field() -> None:
-    assert settings_from_json(json.dumps(OUTER).encode()) == INNER
+def test_every_external_name_is_decoded() -> None:
+    assert settings_from_json(json.dumps(ALL_OPTIONS).encode()) == EXPECTED
 
 
 @pytest.mark.parametrize(
     ("section", "name"),
     [
-        *(("", name) for name in OUTER),
+        *(("", name) for name in ALL_OPTIONS),
         *(
             (section, name)
             for section in ("feedback", "bounds", "rules", "specifics")
-            for name in OUTER[section]
+            for name in ALL_OPTIONS[section]
         ),
-        *(("classes", name) for name in OUTER["classes"][0]),
+        *(("classes", name) for name in ALL_OPTIONS["classes"][0]),
     ],
 )
-def test_a_missing_name_is_named_and_an_optional_one_has_its_default(section: str, name: str) -> None:
-    options = json.loads(json.dumps(OUTER))
-    place = options[section] if section else options
-    del (place[0] if section == "classes" else place)[name]
+def test_a_missing_name_is_reported_and_an_optional_one_has_a_default(section: str, name: str) -> None:
+    options = json.loads(json.dumps(ALL_OPTIONS))
+    parent = options[section] if section else options
+    del (parent[0] if section == "classes" else parent)[name]
     if name in OPTIONAL:
         defaults = settings_from_json(json.dumps(options).encode())
-        assert defaults != INNER
+        assert defaults != EXPECTED
     else:
         with pytest.raises(SettingsError, match=f"missing or unknown value '{name}'"):
             settings_from_json(json.dumps(options).encode())
 
 
 @pytest.mark.parametrize(
-    ("section", "name", "word", "field", "value"),
+    ("section", "name", "keyword", "field", "value"),
     [
         ("", "weight_source", "off", "weights_known", False),
         ("", "membership_mode", "push", "polls_endpoint_list", False),
@@ -192,16 +192,16 @@
         ("specifics", "peers_fill", "any", "sibling_scope", Scope.ALL),
     ],
 )
-def test_every_outer_word_has_its_value(
-    section: str, name: str, word: object, field: str, value: object
+def test_every_keyword_is_decoded(
+    section: str, name: str, keyword: object, field: str, value: object
 ) -> None:
-    options = json.loads(json.dumps(OUTER))
-    (options[section] if section else options)[name] = word
+    options = json.loads(json.dumps(ALL_OPTIONS))
+    (options[section] if section else options)[name] = keyword
     assert getattr(settings_from_json(json.dumps(options).encode()), field) == value
 
 
 @pytest.mark.parametrize(
-    ("name", "word", "field", "value"),
+    ("name", "keyword", "field", "value"),
     [
         ("effect", "pure", "idempotency", Idempotency.IDEMPOTENT),
         ("effect", "token", "idempotency", Idempotency.IDEMPOTENCY_KEY),
@@ -211,7 +211,7 @@
         ("dedup_scope", "all", "idempotency_scope", Scope.ALL),
     ],
 )
-def test_every_outer_word_of_a_class_has_its_value(name: str, word: str, field: str, value: object) -> None:
-    options = json.loads(json.dumps(OUTER))
-    options["classes"][0][name] = word
+def test_every_keyword_of_a_class_is_decoded(name: str, keyword: str, field: str, value: object) -> None:
+    options = json.loads(json.dumps(ALL_OPTIONS))
+    options["classes"][0][name] = keyword
     assert getattr(settings_from_json(json.dumps(options).encode()).classes[0], field) == value
--- a/tests/wire/test_stores.py
+++ b/tests/wire/test_stores.py
@@ -1,4 +1,4 @@
-"""What goes to a store and comes back."""
+"""Requests to endpoints and the decoding of their responses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "fields", "meant"),
+    ("status", "fields", "expected"),
     [
         (200, {"x-born-ms": "5", "etag": '"t"'}, "ok"),
         (304, {}, "ok"),
@@ -30,11 +30,11 @@
         (418, {}, "error"),
     ],
 )
-def test_store_answers(status: int, fields: dict[str, str], meant: str) -> None:
-    said = stores.decode_response(http1.Head(0, fields, status), b"", SETTINGS)
-    assert said.status.value == meant
+def test_responses(status: int, fields: dict[str, str], expected: str) -> None:
+    result = stores.decode_response(http1.Head(0, fields, status), b"", SETTINGS)
+    assert result.status.value == expected
     if status == 200:
-        assert (said.generated_at, said.etag) == (5_000_000, "t")
+        assert (result.generated_at, result.etag) == (5_000_000, "t")
 
 
 @pytest.mark.parametrize(
@@ -46,7 +46,7 @@
 
 
 def test_every_field_of_a_request_has_its_header() -> None:
-    order = UpstreamRequest(
+    request = UpstreamRequest(
         request_id="9b1f03aa5c7e2d41",
         class_index=1,
         name="7f3a9c21e0b4d655",
@@ -63,7 +63,7 @@
         no_parent_copy=True,
         revalidate=True,
     )
-    assert stores.encode_request_head(order, "store:80", SETTINGS).decode().split("\r\n") == [
+    assert stores.encode_request_head(request, "store:80", SETTINGS).decode().split("\r\n") == [
         "GET /v2/q/small/7f3a9c21e0b4d655/3 HTTP/1.1",
         "Host: store:80",
         "X-Hop-Id: 9b1f03aa5c7e2d41",
@@ -80,14 +80,14 @@
     ]
 
 
-def test_a_request_without_options_has_the_least_headers() -> None:
-    order = UpstreamRequest("c", 0, "r", 0, 1)
-    assert stores.encode_request_head(order, "h", SETTINGS) == (
+def test_a_request_without_options_has_the_mandatory_headers_only() -> None:
+    request = UpstreamRequest("c", 0, "r", 0, 1)
+    assert stores.encode_request_head(request, "h", SETTINGS) == (
         b"GET /v2/q/segment/r/0 HTTP/1.1\r\nHost: h\r\nX-Hop-Id: c\r\nX-Budget: 1\r\n\r\n"
     )
 
 
-def test_every_header_of_a_response_has_its_field() -> None:
+def test_every_header_of_a_response_is_decoded() -> None:
     headers = {"x-born-ms": "5", "etag": '"tag-1"', "x-report": "inflight:7;x0:0.5"}
     assert stores.decode_response(http1.Head(0, headers, 200), b"body", SETTINGS) == AttemptResult(
         AttemptStatus.OK, b"body", False, "tag-1", 5_000_000, (7.0, 0.5)
