--- a/hallproxy/__main__.py
+++ b/hallproxy/__main__.py
@@ -9,8 +9,8 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Run the command; returns the exit code."""
-    # Pending until the event loop handles it: its default action would end the process amid the imports, and
-    # a file that changes after it was read is read again then.
+    # Stays pending until the event loop handles it: its default action would end the process during the
+    # imports, and a file that changes after it was read is read again then.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     from hallproxy import commands
 
--- a/hallproxy/commands.py
+++ b/hallproxy/commands.py
@@ -1,6 +1,6 @@
-"""The command line: parses it, runs the command or the role that it names, and maps errors to exit codes.
+"""The command line: parses it, runs the command or role that it names, and maps errors to exit codes.
 
-A role's modules are imported when it is chosen: a gateway does not pay for those of a relay or a repository.
+A role's modules are imported when it is run: a gateway does not load those of a relay or a repository.
 """
 
 from __future__ import annotations
@@ -25,31 +25,31 @@
 
 
 def _parser() -> argparse.ArgumentParser:
-    parser = argparse.ArgumentParser(prog="hallproxy", description="With no command: one gateway.")
-    parser.add_argument("--teams", type=Path, help="tell teams apart, as this file says (off without it)")
+    parser = argparse.ArgumentParser(prog="hallproxy", description="Without a command: run a gateway.")
+    parser.add_argument("--teams", type=Path, help="file of teams and their contracts (default: no teams)")
     parser.add_argument(
-        "--change-logs", type=Path, help="follow the change log through the relays that this file names"
+        "--change-logs", type=Path, help="file of the relays through which the change log is followed"
     )
     commands = parser.add_subparsers(dest="command")
-    serving = commands.add_parser("repository", help="serve package repositories, as a deploy file says")
-    serving.add_argument("file", type=Path, nargs="?", default=Path("deploy/repository.toml"))
-    relaying = commands.add_parser("relay", help="pass the change log on to many, as a file says")
-    relaying.add_argument("file", type=Path)
-    looking = commands.add_parser("relay-status", help="how far relays and their followers are, as a tree")
-    looking.add_argument("addresses", metavar="ADDRESS", nargs="+", help="where a relay listens")
-    looking.add_argument("--json", action="store_true")
-    using = commands.add_parser("usage", help="what teams use of a running front")
-    using.add_argument("--at", default="127.0.0.1:8081", help="where the front listens")
-    using.add_argument("--team", required=True)
-    using.add_argument("--token-file", type=Path, required=True, help="a file that holds the team's token")
-    using.add_argument("--json", action="store_true")
-    planning = commands.add_parser("plan", help="print and save what a contracts file would change")
-    planning.add_argument("file", type=Path)
-    planning.add_argument("--out", type=Path, help="where the plan is saved (FILE.plan)")
-    applying = commands.add_parser("apply", help="carry out a saved plan")
-    applying.add_argument("plan", type=Path)
-    for command in (planning, applying):
-        command.add_argument("--state", type=Path, default=Path("contracts.json"), help="what is applied")
+    repository = commands.add_parser("repository", help="serve package repositories, configured by a file")
+    repository.add_argument("file", type=Path, nargs="?", default=Path("deploy/repository.toml"))
+    relay = commands.add_parser("relay", help="relay the change log to many followers, configured by a file")
+    relay.add_argument("file", type=Path)
+    relay_status = commands.add_parser("relay-status", help="show the progress of relays and their followers")
+    relay_status.add_argument("addresses", metavar="ADDRESS", nargs="+", help="HOST:PORT of a relay")
+    relay_status.add_argument("--json", action="store_true")
+    usage = commands.add_parser("usage", help="show the usage of teams at a running front")
+    usage.add_argument("--at", default="127.0.0.1:8081", help="HOST:PORT of the front")
+    usage.add_argument("--team", required=True)
+    usage.add_argument("--token-file", type=Path, required=True, help="file that contains the team's token")
+    usage.add_argument("--json", action="store_true")
+    plan = commands.add_parser("plan", help="print and save the changes that a contracts file would make")
+    plan.add_argument("file", type=Path)
+    plan.add_argument("--out", type=Path, help="file to save the plan to (default: FILE.plan)")
+    apply = commands.add_parser("apply", help="apply a saved plan")
+    apply.add_argument("plan", type=Path)
+    for command in (plan, apply):
+        command.add_argument("--state", type=Path, default=Path("contracts.json"), help="the applied state")
     return parser
 
 
@@ -78,16 +78,16 @@
 
 
 def _relay_status(args: argparse.Namespace) -> int:
-    """1 where one of the relays can't be reached."""
+    """Returns 1 if one of the relays can't be reached."""
     from hallproxy.relay import status
 
     statuses = status.fetch_all(args.addresses)
     print(json.dumps(statuses, indent=1) if args.json else "\n".join(status.format_tree(statuses)))
-    return int(any("error" in one for one in statuses.values()))
+    return int(any("error" in relay_status for relay_status in statuses.values()))
 
 
 def _usage(args: argparse.Namespace) -> int:
-    from hallproxy.run import usage  # an HTTP client that no gateway needs
+    from hallproxy.run import usage  # imports an HTTP client, which a gateway does not need
 
     report = usage.fetch(args.at, args.team, args.token_file.read_text("utf-8").strip())
     print(json.dumps(report, indent=1) if args.json else "\n".join(usage.format_report(report)))
@@ -98,7 +98,7 @@
     out = args.out or args.file.with_name(args.file.name + ".plan")
     changes = contracts.plan(args.file, args.state, out)
     print("\n".join(changes) or "nothing to change")
-    print(f"saved as {out}")
+    print(f"plan saved to {out}")
     return 0
 
 
@@ -120,7 +120,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the command; returns the exit code. An error of configuration is one plain line and a 1."""
+    """Run the command; returns the exit code. For a configuration error it prints one line and returns 1."""
     args = _parser().parse_args(argv)
     try:
         return COMMANDS[args.command](args)
--- a/hallproxy/run/change_log_poller.py
+++ b/hallproxy/run/change_log_poller.py
@@ -13,13 +13,13 @@
 from hallproxy.state.events import WatchCaughtUp
 from hallproxy.wire.changelog import ChangeLogError, decode_age, decode_events, snapshot_start
 
-POLL_WAIT = 1_000  # ms that a poll is held; short, so that a silent log is noticed
-RESPONSE_TIMEOUT = 0.25  # s past that wait after which a poll has failed
-FIRST_RESPONSE_TIMEOUT = 2.0  # s; a broken log's events count as notified so long after
+POLL_WAIT = 1_000  # ms that a poll is held; short, so that a log that has stopped is detected
+RESPONSE_TIMEOUT = 0.25  # s after that wait at which a poll has failed
+FIRST_RESPONSE_TIMEOUT = 2.0  # s after which the events of a log that has failed count as notified
 
 
 class Poller(Follower):
-    """The gateway's follower: it dispatches new events to the reducer."""
+    """The gateway's follower, which dispatches new events to the reducer."""
 
     def __init__(
         self,
@@ -38,30 +38,30 @@
         return self._runner.now()
 
     async def wait_until_current(self) -> None:
-        """Wait for the first response, for ``FIRST_RESPONSE_TIMEOUT`` at most.
+        """Wait for the first response, for at most ``FIRST_RESPONSE_TIMEOUT``.
 
-        Without it a gateway that was killed and started again could send a request to an endpoint that was
-        announced as leaving before: the configuration may lack those events.
+        Otherwise a restarted gateway could send a request to an endpoint already announced as leaving: the
+        configuration may lack that event.
         """
         try:
             await asyncio.wait_for(self._first_response.wait(), FIRST_RESPONSE_TIMEOUT)
         except TimeoutError:
             self._first_response.set()
             log_line(
-                f"change log: no answer in {FIRST_RESPONSE_TIMEOUT:g} s, "
-                "beginning with what the configuration knows"
+                f"change log: no response within {FIRST_RESPONSE_TIMEOUT:g} s; "
+                "starting with the events in the configuration"
             )
 
     def reconfigure(
         self, source: Address | Sources, known: dict[str, Any], has_alternatives: bool = False
     ) -> None:
-        """Follow the log at its new addresses from now on, from the last event applied.
+        """Follow the log at its new addresses, from the last event applied.
 
-        The rest of a response from the former address is dropped.
+        A partial response from the previous address is dropped.
         """
         try:
             self._dispatch_events(known, False, live=False)
-        except ChangeLogError as error:  # `known` may start after `since`: the log has the rest
+        except ChangeLogError as error:  # `known` may start after `since`: the log has the missing events
             log_line(f"change log: {error}")
         sources = _sources(source)
         if sources != self._sources:
@@ -69,14 +69,14 @@
             self.set_sources(sources)
 
     def apply(self, response: PollResponse) -> None:
-        """Dispatch the page's new events; ChangeLogError where it can't be used."""
+        """Dispatch the page's new events; ChangeLogError where it is invalid."""
         age_ns = decode_age(response.head.fields.get("age", "0")) if self._compressed else 0
         self._dispatch_events(response.page, self.polled_twice)
-        # A response with events may have been made at the moment of the poll.
+        # The response may have been generated as early as when the poll was sent.
         self._runner.dispatch(WatchCaughtUp(response.polled_at - age_ns))
 
     def _dispatch_events(self, page: dict[str, Any], allow_gaps: bool, live: bool = True) -> None:
-        """Dispatch the new events, each completely or not at all; of a snapshot page all or none."""
+        """Dispatch the new events, each entirely or not at all; those of a snapshot page all or none."""
         state = self._runner.state
         first = snapshot_start(page) if live else None
         since = self.since if first is None else first
--- a/hallproxy/run/change_log_source.py
+++ b/hallproxy/run/change_log_source.py
@@ -25,11 +25,11 @@
         ...
 
     def has_alternative(self, address: Address) -> bool:
-        """Whether there is another address to turn to, which has not failed lately."""
+        """Whether there is another address that has not failed lately."""
         ...
 
     def preferred(self, now: int) -> Address | None:
-        """A preferred address that should be tried beside the current one, if any."""
+        """A preferred address that should be tried alongside the current one, if any."""
         ...
 
 
@@ -51,11 +51,11 @@
         """Nothing to record."""
 
     def has_alternative(self, address: Address) -> bool:
-        """There is no other."""
+        """Always false."""
         return False
 
     def preferred(self, now: int) -> Address | None:
-        """There is no other."""
+        """Always None."""
         return None
 
 
@@ -68,11 +68,11 @@
 
 
 def configured_source(config: Config, change_logs: Path | None) -> ConfiguredSource:
-    """The sources that the configuration names, or the file of change logs where one is given."""
+    """The sources in the file of change logs where one is given, otherwise in the configuration."""
     if change_logs is None:
         single = SingleSource(config.changelog) if config.changelog is not None else None
         return ConfiguredSource(single, False)
-    # Imported here: a gateway without the file does not need these modules.
+    # Imported here, as a gateway without the file does not need these modules.
     from hallproxy.run import change_logs as change_logs_file
 
     logs = change_logs_file.load(change_logs)
--- a/hallproxy/run/change_logs.py
+++ b/hallproxy/run/change_logs.py
@@ -1,4 +1,4 @@
-"""Several addresses for the change log, from the operators' own file. Only read where it is asked for."""
+"""Several addresses of the change log, from the operators' file named by ``--change-logs``."""
 
 from __future__ import annotations
 
@@ -26,32 +26,32 @@
         return len(self.addresses) > 1
 
     def selection(self, config: Config) -> SourceSelection:
-        """This gateway's own order of them."""
+        """The selection among the addresses, in an order of this gateway's own."""
         name = config.name or "%s:%d" % config.listen
         return SourceSelection(name, self.addresses, self.spread_ms / 1000, Random(f"{config.seed:x} {name}"))
 
 
 def load(path: Path) -> ChangeLogs:
-    """Read and check the file whole; ConfigError, one plain line, where it can't be used."""
+    """Read and check the file; ConfigError with a one-line message where it is invalid."""
     top = read_toml(path)
     for key in top:
         if key not in ("addresses", "spread_ms"):
             raise ConfigError(f"{path}: unknown key {key!r}")
-    named = top.get("addresses")
-    if not isinstance(named, list) or not 1 <= len(named) <= MAX_ADDRESSES:
+    entries = top.get("addresses")
+    if not isinstance(entries, list) or not 1 <= len(entries) <= MAX_ADDRESSES:
         raise ConfigError(f"{path}: addresses is not a list of 1 to {MAX_ADDRESSES}")
     addresses = []
-    for one in named:
+    for entry in entries:
         try:
-            where = address(one if isinstance(one, str) else repr(one))
+            decoded = address(entry if isinstance(entry, str) else repr(entry))
         except ConfigError as error:
             raise ConfigError(f"{path}: {error}") from None
-        if not where[1]:
-            raise ConfigError(f"{path}: {one!r} is no address")
-        if where in addresses:
-            raise ConfigError(f"{path}: {one!r} is there twice")
-        addresses.append(where)
-    spread = top.get("spread_ms", 500)
-    if type(spread) is not int or not 0 <= spread <= MAX_SPREAD_MS:
-        raise ConfigError(f"{path}: spread_ms is not a number from 0 to {MAX_SPREAD_MS}")
-    return ChangeLogs(tuple(addresses), spread)
+        if not decoded[1]:
+            raise ConfigError(f"{path}: addresses: {entry!r} has port 0; 1 to 65535 is accepted")
+        if decoded in addresses:
+            raise ConfigError(f"{path}: addresses: {entry!r} is repeated")
+        addresses.append(decoded)
+    spread_ms = top.get("spread_ms", 500)
+    if type(spread_ms) is not int or not 0 <= spread_ms <= MAX_SPREAD_MS:
+        raise ConfigError(f"{path}: spread_ms is not a whole number from 0 to {MAX_SPREAD_MS}")
+    return ChangeLogs(tuple(addresses), spread_ms)
--- a/hallproxy/run/config.py
+++ b/hallproxy/run/config.py
@@ -1,4 +1,4 @@
-"""The gateway's configuration: the environment and the configuration file."""
+"""The gateway's configuration, from the environment and the configuration file."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class ConfigError(ValueError):
-    """The gateway can't start with this; the text is one plain line."""
+    """An invalid configuration; the message is one line."""
 
 
 def read_toml(path: Path, error: type[ValueError] = ConfigError) -> dict[str, Any]:
-    """The operators' own file form. What can't be read is the caller's error, in one plain line."""
+    """Read an operators' file; where that fails, ``error`` is raised with a one-line message."""
     try:
         return tomllib.loads(path.read_text("utf-8"))
     except OSError as failed:
@@ -33,7 +33,7 @@
 
 
 class InitialEvents(NamedTuple):
-    """The events of the start, and the number of the last one."""
+    """The events to start with, and the number of the last one."""
 
     last_number: int
     events: list[EndpointListUpdated | PurgeNotified]
@@ -49,35 +49,37 @@
     memory_mb: int
     sockets: int
     changelog: Address | None
-    transfer_bytes_s: int  # bytes a second of one response from the local cache; 0: unknown
-    uplink_bytes_s: int  # bytes a second of all of them together
-    known: dict[str, Any]
+    transfer_bytes_s: int  # bytes/s of one response from the local cache; 0: unknown
+    uplink_bytes_s: int  # bytes/s of all of them together
+    known_events: dict[str, Any]  # a page of the change log
     settings: i.Settings
 
     def initial_events(self, now: int) -> InitialEvents:
-        """The change log's events that the configuration brings."""
+        """The change log's events that the configuration contains."""
         last, events = 0, []
-        # After a restart the log counts from 1 again, but `known` may leave out what has been overtaken.
-        for seq, event in decode_events(self.known, 0, self.settings, now, allow_gaps=True, live=False):
+        # After a restart the log counts from 1 again, but `known` may leave out superseded events.
+        for seq, event in decode_events(
+            self.known_events, 0, self.settings, now, allow_gaps=True, live=False
+        ):
             last = seq
             if event is not None:
                 events.append(event)
-        return InitialEvents(max(last, int(self.known.get("seq", 0))), events)
+        return InitialEvents(max(last, int(self.known_events.get("seq", 0))), events)
 
 
 def address(text: object) -> Address:
-    """Decode HOST:PORT; ConfigError where it is none."""
+    """Decode HOST:PORT; ConfigError where it is invalid."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or int(port) > 65_535:
-        raise ConfigError(f"{text!r} is no address")
+        raise ConfigError(f"{text!r} is not an address HOST:PORT")
     return host, int(port)
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the file that EDGE_CONFIG names; ConfigError, one plain line, where it can't be used."""
+    """Read the file that EDGE_CONFIG names; ConfigError with a one-line message where it is invalid."""
     path = environ.get("EDGE_CONFIG")
     if not path:
-        raise ConfigError("EDGE_CONFIG names no configuration file")
+        raise ConfigError("EDGE_CONFIG is not set to a configuration file")
     try:
         top = json.loads(Path(path).read_bytes())
     except OSError as error:
@@ -85,7 +87,7 @@
     except ValueError as error:
         raise ConfigError(f"{path} is not JSON: {error}") from None
     if not isinstance(top, dict):
-        raise ConfigError(f"{path} holds no object")
+        raise ConfigError(f"{path} is not a JSON object")
     try:
         limits = top.get("limits") or {}
         return Config(
@@ -97,7 +99,7 @@
             changelog=address(top["changelog"]) if top.get("changelog") else None,
             transfer_bytes_s=int(top.get("flow_bytes_per_s") or 0),
             uplink_bytes_s=int(top.get("link_bytes_per_s") or 0),
-            known=top.get("known") or {"seq": 0, "results": []},
+            known_events=top.get("known") or {"seq": 0, "results": []},
             settings=settings_from_json(json.dumps(top["settings"]).encode()),
         )
     except KeyError as error:
--- a/hallproxy/run/contracts.py
+++ b/hallproxy/run/contracts.py
@@ -1,7 +1,7 @@
-"""Contracts as people write them, and ``plan`` and ``apply``, which bring them into force.
+"""Contracts files, and ``plan`` and ``apply``, which bring them into force.
 
-A TOML file says what should hold; the applied state is a JSON file that only ``apply`` writes. A plan is the
-difference between the two at one moment, and is worth nothing once what it was made from has changed.
+A TOML file is the desired state; the applied state is a JSON file that only ``apply`` writes. A plan is the
+difference between the two at one moment, and is stale once the applied state has changed.
 """
 
 from __future__ import annotations
@@ -32,24 +32,24 @@
 _TEAM = {"token_sha256": str, "weight": float, "organisation": str, "networks": list, "operator": bool}
 _ORGANISATION = {"weight": float, "rate": float, "burst": float, "byte_rate": float, "byte_burst": float,
                  "concurrency": int, "lends": bool}  # fmt: skip
-_WEIGHTS = 0.001, 1000.0
+_WEIGHT_RANGE = 0.001, 1000.0
 Document = dict[str, Any]
 
 
 class ContractError(ValueError):
-    """A contracts file, plan or applied state that can't be used; the text is one plain line."""
+    """An invalid contracts file, plan or applied state; the message is one line."""
 
 
 @dataclass(slots=True, frozen=True)
 class AppliedContracts:
-    """What is in force, as the fronts and the core need it."""
+    """The contracts in force, with what the fronts need to assign requests to them."""
 
     contracts: Contracts = field(default_factory=Contracts)
     tokens: Mapping[str, str] = field(default_factory=dict)  # team -> SHA-256 of its token
-    services: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # -> patterns of projects
+    services: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # service -> patterns of projects
 
     def service_of(self, project: str) -> str:
-        """The first service, by name, one of whose patterns the project matches; empty: none."""
+        """The first service, by name, with a pattern that the project matches; empty if none."""
         for name, patterns in self.services.items():  # in order of names, see applied_contracts
             if any(fnmatchcase(project, pattern) for pattern in patterns):
                 return name
@@ -57,7 +57,7 @@
 
 
 def empty() -> Document:
-    """The document in which nothing is applied."""
+    """The document of the state before the first ``apply``."""
     return {"teams": {}, "services": {}, "contracts": {}}
 
 
@@ -66,7 +66,7 @@
 
 
 def read_file(path: Path) -> Document:
-    """A contracts file, checked and brought into the one form that plans compare."""
+    """Read, check and normalize a contracts file."""
     top = read_toml(path, ContractError)
     try:
         return check(top)
@@ -75,96 +75,98 @@
 
 
 def check(top: Document) -> Document:
-    """The document in the one form that plans compare; ContractError where it can't be used."""
-    _only(top, tuple(key for key, _ in KINDS), "the file")
+    """Check the document and normalize it to the form that plans compare; ContractError where invalid."""
+    _check_keys(top, tuple(key for key, _ in KINDS), "the file")
     document = empty()
     for name, organisation in _tables(top, "organisations"):
-        _typed(organisation, _ORGANISATION, f"organisation {name}")
-        # Only where there is one: a file without keeps the form, and so the digest, that it always had.
+        _check_values(organisation, _ORGANISATION, f"organisation {name}")
+        # Added only where there is one, so that a file without organisations keeps its form and digest.
         document.setdefault("organisations", {})[name] = organisation
     for name, team in _tables(top, "teams"):
         where = f"team {name}"
-        _typed(team, _TEAM, where)
+        _check_values(team, _TEAM, where)
         token = team.get("token_sha256", "")
         if not isinstance(token, str) or not re.fullmatch(r"[0-9a-f]{64}", token):
             raise ContractError(f"team {name}: token_sha256 is not 64 hex digits")
-        belongs = team.get("organisation", "")
-        if belongs and belongs not in document.get("organisations", {}):
-            raise ContractError(f"{where}: organisation {belongs!r} is not among the organisations")
+        organisation_name = team.get("organisation", "")
+        if organisation_name and organisation_name not in document.get("organisations", {}):
+            raise ContractError(f"{where}: organisation {organisation_name!r} is not among the organisations")
         try:
             networks = [normalize_network(str(network)) for network in team.get("networks", ())]
         except NetworkError as error:
             raise ContractError(f"{where}: networks: {error}") from None
         document["teams"][name] = team | ({"networks": networks} if networks else {})
     for name, service in _tables(top, "services"):
-        _only(service, ("projects",), f"service {name}")
+        _check_keys(service, ("projects",), f"service {name}")
         projects = service.get("projects")
         if not isinstance(projects, list) or not projects or not all(isinstance(p, str) for p in projects):
-            raise ContractError(f"service {name}: projects is not a list of patterns")
+            raise ContractError(f"service {name}: projects is not a non-empty list of patterns")
         document["services"][name] = {"projects": projects}
     contracts = top.get("contracts", [])
     if not isinstance(contracts, list) or not all(isinstance(c, dict) for c in contracts):
         raise ContractError("contracts is not a list of tables")
     for number, contract in enumerate(contracts, 1):
         where = f"contract {number}"
-        _typed(contract, _CONTRACT, where)
-        for key, known in (("team", "teams"), ("service", "services")):
-            if contract.get(key) not in document[known]:
-                raise ContractError(f"{where}: {key} {contract.get(key)!r} is not among the {known}")
+        _check_values(contract, _CONTRACT, where)
+        for key, section in (("team", "teams"), ("service", "services")):
+            if contract.get(key) not in document[section]:
+                raise ContractError(f"{where}: {key} {contract.get(key)!r} is not among the {section}")
         if contract.get("window_s") == 0:
-            raise ContractError(f"{where}: window_s is 0")
+            raise ContractError(f"{where}: window_s is 0; 1 or more is accepted")
         key = f"{contract['team']}/{contract['service']}/{contract.get('class', '')}"
         if key in document["contracts"]:
-            raise ContractError(f"{where}: a second one for {key}")
+            raise ContractError(f"{where}: duplicate contract for {key}")
         document["contracts"][key] = dict(contract)
-    _promises(document)
+    _check_guarantees(document)
     return document
 
 
-def _typed(table: Mapping[str, Any], kinds: Mapping[str, type], where: str) -> None:
-    """Each value of its kind and in its range; a whole number will do for a fraction."""
-    _only(table, tuple(kinds), where)
+def _check_values(table: Mapping[str, Any], types: Mapping[str, type], where: str) -> None:
+    """Check the type and range of each value; an integer is accepted for a float."""
+    _check_keys(table, tuple(types), where)
     for key, value in table.items():
-        kind = kinds[key]
-        fits = type(value) is kind or (kind is float and type(value) is int)
-        number = isinstance(value, int | float) and not isinstance(value, bool)
-        if not fits or (number and not 0 <= value < 1 << 53):
-            raise ContractError(f"{where}: {key} is {value!r}")
-        if key == "weight" and not _WEIGHTS[0] <= value <= _WEIGHTS[1]:
-            raise ContractError(f"{where}: weight is {value!r}, not from {_WEIGHTS[0]} to {_WEIGHTS[1]}")
+        expected = types[key]
+        has_type = type(value) is expected or (expected is float and type(value) is int)
+        is_number = isinstance(value, int | float) and not isinstance(value, bool)
+        if not has_type or (is_number and not 0 <= value < 1 << 53):
+            raise ContractError(f"{where}: {key} has the wrong type or is out of range: {value!r}")
+        if key == "weight" and not _WEIGHT_RANGE[0] <= value <= _WEIGHT_RANGE[1]:
+            raise ContractError(
+                f"{where}: weight is {value!r}, not from {_WEIGHT_RANGE[0]} to {_WEIGHT_RANGE[1]}"
+            )
     for rate, burst in (("rate", "burst"), ("byte_rate", "byte_burst")):
         if table.get(burst) and not table.get(rate):
             raise ContractError(f"{where}: {burst} without {rate}")
 
 
-def _promises(document: Document) -> None:
-    """What an organisation's teams are promised must be there: else lending would break a promise."""
+def _check_guarantees(document: Document) -> None:
+    """An organisation's rate must cover its contracts' rates: otherwise lending could break a contract."""
     for name, organisation in document.get("organisations", {}).items():
         for rate in ("rate", "byte_rate"):
-            whole = organisation.get(rate, 0)
-            promised = sum(
+            total = organisation.get(rate, 0)
+            guaranteed = sum(
                 contract.get(rate, 0)
                 for contract in document["contracts"].values()
                 if document["teams"][contract["team"]].get("organisation") == name
             )
-            if whole and promised > whole:
-                said = f"its contracts' {rate} is {promised:g}, over {whole:g}"
-                raise ContractError(f"organisation {name}: {said}")
+            if total and guaranteed > total:
+                excess = f"the sum of its contracts' {rate} is {guaranteed:g}, over {total:g}"
+                raise ContractError(f"organisation {name}: {excess}")
 
 
-def _only(table: Mapping[str, Any], known: tuple[str, ...], where: str) -> None:
+def _check_keys(table: Mapping[str, Any], accepted: tuple[str, ...], where: str) -> None:
     for key in table:
-        if key not in known:
+        if key not in accepted:
             raise ContractError(f"{where}: unknown key {key!r}")
 
 
 def _tables(top: Document, key: str) -> list[tuple[str, Document]]:
     tables = top.get(key, {})
     if not isinstance(tables, dict) or not all(isinstance(t, dict) for t in tables.values()):
-        raise ContractError(f"{key} is no table of tables")
+        raise ContractError(f"{key} is not a table of tables")
     for name in tables:
         if not _NAME.fullmatch(name):
-            raise ContractError(f"{key}: {name!r} is no name")
+            raise ContractError(f"{key}: {name!r} is not a name of 1 to 64 letters, digits, '.', '_' and '-'")
     return sorted(tables.items())
 
 
@@ -173,11 +175,11 @@
 
 
 def read_applied(path: Path) -> tuple[int, Document]:
-    """The serial number and the contents of what is applied; (0, nothing) before the first time."""
+    """The serial number and document of the applied state; 0 and an empty one before the first ``apply``."""
     try:
         top = json.loads(path.read_text("utf-8"))
         if top["format"] != FORMAT or top["digest"] != _digest(top["document"]):
-            raise ContractError(f"{path}: not written by apply, or changed since")
+            raise ContractError(f"{path}: not written by apply, or modified since")
         return int(top["serial"]), top["document"]
     except FileNotFoundError:
         return 0, empty()
@@ -186,12 +188,12 @@
     except ContractError:
         raise
     except (ValueError, KeyError, TypeError):
-        raise ContractError(f"{path} holds no applied state") from None
+        raise ContractError(f"{path} is not an applied state") from None
 
 
 def applied_contracts(document: Document) -> AppliedContracts:
-    """What the fronts and the broker need of a checked document."""
-    held = tuple(
+    """The contracts, tokens and services of a checked document."""
+    contracts = tuple(
         Contract(
             c["team"],
             c["service"],
@@ -226,81 +228,81 @@
         for name, o in document.get("organisations", {}).items()
     )
     return AppliedContracts(
-        Contracts(held, teams, organisations),
+        Contracts(contracts, teams, organisations),
         {name: team["token_sha256"] for name, team in document["teams"].items()},
         {name: tuple(service["projects"]) for name, service in sorted(document["services"].items())},
     )
 
 
 def difference(old: Document, new: Document) -> list[str]:
-    """One line for each thing that comes (+), goes (-) or changes (~)."""
+    """One line for each addition (+), removal (-) or changed key (~)."""
     lines: list[str] = []
-    for kind, word in KINDS:
-        olds, news = old.get(kind, {}), new.get(kind, {})
-        for name in sorted({*olds, *news}):
-            before, after = olds.get(name), news.get(name)
+    for section, kind in KINDS:
+        old_section, new_section = old.get(section, {}), new.get(section, {})
+        for name in sorted({*old_section, *new_section}):
+            before, after = old_section.get(name), new_section.get(name)
             if before is None:
-                lines.append(f"+ {word} {name}")
+                lines.append(f"+ {kind} {name}")
             elif after is None:
-                lines.append(f"- {word} {name}")
+                lines.append(f"- {kind} {name}")
             else:
                 for key in sorted({*before, *after}):
                     if before.get(key) != after.get(key):
-                        lines.append(f"~ {word} {name}: {key} {before.get(key)!r} -> {after.get(key)!r}")
+                        lines.append(f"~ {kind} {name}: {key} {before.get(key)!r} -> {after.get(key)!r}")
     return lines
 
 
 def plan(source: Path, applied: Path, out: Path) -> list[str]:
-    """Save the difference between the file and what is applied; its lines are returned."""
+    """Save a plan that applies the file; returns the lines of the difference."""
     target = read_file(source)
     serial, document = read_applied(applied)
     changes = difference(document, target)
-    made = {"format": FORMAT, "base": serial, "base_digest": _digest(document), "target": target,
-            "target_digest": _digest(target), "changes": changes}  # fmt: skip
-    _write(out, made)
+    saved = {"format": FORMAT, "base": serial, "base_digest": _digest(document), "target": target,
+             "target_digest": _digest(target), "changes": changes}  # fmt: skip
+    _write(out, saved)
     return changes
 
 
 def apply(saved: Path, applied: Path) -> list[str]:
-    """Carry out a saved plan, once. A plan already carried out changes nothing; a stale one is refused."""
+    """Apply a saved plan. One already applied changes nothing; ContractError for a stale one."""
     try:
-        made = json.loads(saved.read_text("utf-8"))
-        target, base = made["target"], (made["base"], made["base_digest"])
-        if made["format"] != FORMAT or made["target_digest"] != _digest(target):
-            raise ContractError(f"{saved}: not written by plan, or changed since")
+        loaded = json.loads(saved.read_text("utf-8"))
+        target, base = loaded["target"], (loaded["base"], loaded["base_digest"])
+        if loaded["format"] != FORMAT or loaded["target_digest"] != _digest(target):
+            raise ContractError(f"{saved}: not written by plan, or modified since")
     except OSError as error:
         raise ContractError(f"{saved} can't be read: {error.strerror}") from None
     except ContractError:
         raise
     except (ValueError, KeyError, TypeError):
-        raise ContractError(f"{saved} holds no plan") from None
+        raise ContractError(f"{saved} is not a plan") from None
     try:
         lock = open(applied.with_name(applied.name + ".lock"), "w")
     except OSError as error:
         raise ContractError(f"{applied} can't be locked: {error.strerror}") from None
     with lock:
-        # Two at once must not both find their plans fresh.
+        # Concurrent applies must not both find their plans fresh.
         fcntl.flock(lock, fcntl.LOCK_EX)
         serial, document = read_applied(applied)
         if _digest(document) == _digest(target):
             return []
         if (serial, _digest(document)) != base:
-            made_from = f"made from state {base[0]}, which is now {serial}"
-            raise ContractError(f"{saved} is stale: {made_from}; plan again")
+            cause = f"made from state {base[0]}, which is now {serial}"
+            raise ContractError(f"{saved} is stale: {cause}; plan again")
         new = {"format": FORMAT, "serial": serial + 1, "digest": _digest(target), "document": target}
         _write(applied, new)
     return difference(document, target)
 
 
 def _write(path: Path, contents: Document) -> None:
-    """Whole or not at all: a reader never sees half a file, also after a crash."""
-    beside = path.with_name(f"{path.name}.{os.getpid()}.new")
+    """Write the file atomically: a reader never sees a partial one, even after a crash."""
+    temporary = path.with_name(f"{path.name}.{os.getpid()}.new")
     try:
-        with open(beside, "w", encoding="utf-8") as file:
+        with open(temporary, "w", encoding="utf-8") as file:
             json.dump(contents, file, indent=1, sort_keys=True)
             file.write("\n")
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, path)
+        os.replace(temporary, path)
     except OSError as error:
         raise ContractError(f"{path} can't be written: {error.strerror}") from None
--- a/hallproxy/run/downstream_connection.py
+++ b/hallproxy/run/downstream_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection to the platform's front, with many requests in flight on it."""
+"""One client's connection to the platform's front, with concurrent requests on it."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from hallproxy.wire import frames
 
 MAX_IN_FLIGHT = 32  # requests on one connection, queued ones included
-MAX_UNSENT_BYTES = 2 * 1024 * 1024  # for a client that does not read; beyond them it is closed
-FRAME_TIMEOUT = 2.0  # s for the first frame, and for the rest of each that has begun
+MAX_UNSENT_BYTES = 2 * 1024 * 1024  # for a client that does not read; over that it is closed
+FRAME_TIMEOUT = 2.0  # s for the first frame, and for the rest of each one that has begun
 MAX_INVALID_REQUESTS = 16  # on one connection; then it is closed
-BUFFER_SIZE = 2048  # bytes at first
-MIN_READ_BYTES = 1024  # free in the buffer for each read, ...
-MAX_READ_BYTES = 16_384  # ...and at most, whatever length a frame claims
-MAX_READ_PASSES = 8  # reads before the requests among them are started
-LINGER_FOR = 0.5  # s for which a connection is read after its writing has ended, ...
-MAX_LINGER_BYTES = 262_144  # ...or so many bytes
+BUFFER_SIZE = 2048  # initial bytes
+MIN_READ_BYTES = 1024  # free space in the buffer for each read, ...
+MAX_READ_BYTES = 16_384  # ...and its maximum, whatever length a frame claims
+MAX_READ_PASSES = 8  # reads before the received requests are started
+LINGER_DURATION = 0.5  # s for which a connection is read after its write side is closed, ...
+MAX_LINGER_BYTES = 262_144  # ...or until this many bytes
 UNSENT_POLL_INTERVAL = 0.02  # s between checks whether the last bytes have been sent
-MAX_UNSENT_WAIT = 3.0  # s for which a client that reads nothing can delay the end of its connection
+MAX_UNSENT_WAIT = 3.0  # s for which a client that reads nothing can delay the close of its connection
 
 
 class Owner(Protocol):
-    """What a connection needs of the set of all connections."""
+    """The interface of the set of all connections to one of them."""
 
     runner: EffectRunner
     class_indices: dict[str, int]
@@ -48,7 +48,7 @@
         ...
 
     def start_queued(self) -> None:
-        """Start queued requests, as many as this turn of the event loop may."""
+        """Start queued requests, up to the limit of this turn of the event loop."""
         ...
 
     def exceeds_unsent_limit(self) -> bool:
@@ -56,7 +56,7 @@
         ...
 
     def linger(self, connection: DownstreamConnection) -> None:
-        """Move the connection to those whose writing has ended."""
+        """Move the connection to those whose write side is closed."""
         ...
 
     def discard(self, connection: DownstreamConnection) -> None:
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QueuedRequest:
-    """A request frame that has been received and not started."""
+    """A request that has been received and not started yet."""
 
     payload: bytes
     received_at: int  # Unix ns
@@ -75,10 +75,10 @@
 class DownstreamConnection:
     """A connection from the accept to the close.
 
-    It is open until an error, the gateway's shutdown or another's need for its descriptor. Then it is
-    ``ending``: requests in flight are still answered, and what arrives is read and dropped. Then
-    ``write_closed``: its writing has ended, and it is read on for a while, as closing over unread bytes would
-    reset it and lose responses that are on their way.
+    It is open until an error, the gateway's shutdown, or another connection needs its descriptor. Then it is
+    ``ending``: requests in flight are still answered, and received data is dropped. Then it is
+    ``write_closed``: its write side is closed, and it is read for a while longer, as closing it with unread
+    bytes would reset it and lose responses in transit.
     """
 
     def __init__(self, owner: Owner, stream: Stream, address: str) -> None:
@@ -87,7 +87,7 @@
         self._address = address
         self.queued: dict[int, QueuedRequest] = {}  # by stream
         self.in_flight: dict[int, int] = {}  # stream -> the runner's downstream number
-        self.has_requested = False  # a complete frame has arrived
+        self.has_requested = False  # a complete frame has been received
         self.ending = False
         self.write_closed = False
         self._clock = asyncio.get_running_loop().time
@@ -100,7 +100,7 @@
     async def serve(self) -> None:
         """Read frames until the connection ends."""
         buffer = Buffer(BUFFER_SIZE)
-        # Ends connections that never send a complete frame; those that have may be idle for good.
+        # Ends connections that never send a complete frame; others may be idle without limit.
         self._set_frame_timeout(FRAME_TIMEOUT)
         try:
             await self._read(buffer)
@@ -123,11 +123,11 @@
                 dropped += buffer.filled
                 buffer.discard(buffer.filled)
                 if dropped > MAX_LINGER_BYTES and not self.write_closed:
-                    # A flood of bytes after an error, with responses still to send.
+                    # Throttles a client that sends on after an error, while responses are still to be sent.
                     await asyncio.sleep(UNSENT_POLL_INTERVAL)
 
     def _abandon_requests(self) -> None:
-        """The client has disconnected: nothing waits for its requests any more."""
+        """Drop the requests of a client that has disconnected."""
         for stream_id in list(self.queued):
             self._owner.dequeue(self, stream_id)
         self.queued.clear()
@@ -141,10 +141,10 @@
         runner.dispatch(DownstreamClosed(runner.now(), downstream))
 
     def _receive(self, buffer: Buffer) -> int:
-        """Read all that has arrived, then start the requests; returns the bytes missing of the next frame.
+        """Read all received data, then start its requests; returns the bytes missing of the next frame.
 
-        All is read first: a request's cancellation or the connection's end may come after it, and then it is
-        not started. StreamClosedError if the client has closed.
+        Reading comes first, as a request may be followed by its cancellation or the connection's end, and is
+        not started then. StreamClosedError if the client has closed.
         """
         missing = 0
         decoded = 0
@@ -185,7 +185,7 @@
                 try:
                     self._handle_frame(frame)
                 finally:
-                    frame.payload.release()  # the buffer can't be resized while there is a view of it
+                    frame.payload.release()  # the buffer can't be resized while a view of it exists
             missing = frames.frame_size(view[end:]) - (buffer.filled - end) if end < buffer.filled else 0
         return end, missing
 
@@ -198,15 +198,15 @@
             code = frames.SERVED if not self._owner.stopping else frames.REJECTED
             self._write(frames.encode_frame(frames.READINESS_RESPONSE, frame.stream, bytes((code, 0))))
         else:
-            raise frames.FrameError(f"a frame of type {frame.kind}")
+            raise frames.FrameError(f"unknown frame kind {frame.kind}")
 
     def _queue_request(self, frame: frames.Frame) -> None:
         stream_id = frame.stream
         self._owner.last_activity_at = self._clock()
         if not stream_id or stream_id in self.in_flight or stream_id in self.queued:
-            raise frames.FrameError(f"stream {stream_id} is not new")
+            raise frames.FrameError(f"stream {stream_id} is 0 or already in use")
         if len(self.in_flight) + len(self.queued) >= MAX_IN_FLIGHT:
-            # A rejection costs the client this request; closing would cost it all that are in flight.
+            # A rejection fails this request only; closing the connection would fail all in flight.
             self._reject_request(frames.encode_response(stream_id, BUSY))
             return
         self.queued[stream_id] = QueuedRequest(bytes(frame.payload), self._owner.runner.now())
@@ -221,7 +221,7 @@
             self._close_downstream(downstream)
 
     def start_request(self, stream_id: int) -> None:
-        """Dispatch a queued request; one that can't be decoded is answered with an error."""
+        """Dispatch a queued request; an invalid one is answered with an error."""
         queued = self.queued.pop(stream_id)
         if self._stream.closed():
             return
@@ -234,7 +234,7 @@
         now = runner.now()
         downstream = runner.register_downstream(lambda response: self._respond(stream_id, response))
         self.in_flight[stream_id] = downstream
-        # The client's deadline counts from the arrival, so the time in the queue too.
+        # The client's deadline counts from the arrival and so includes the time in the queue.
         time_left = max(0, request.time_left - (now - queued.received_at))
         runner.dispatch(RequestReceived(now, downstream, replace(request, time_left=time_left)))
 
@@ -245,18 +245,18 @@
         except frames.FieldError as error:
             try:
                 self._reject_request(frames.encode_error(str(error), stream_id))
-            except frames.FrameError as too_many:
-                self._fail(str(too_many))
+            except frames.FrameError as limit_error:
+                self._fail(str(limit_error))
         return None
 
     def _reject_request(self, pieces: list[bytes]) -> None:
         self._write(pieces)
         self._invalid_requests += 1
         if self._invalid_requests >= MAX_INVALID_REQUESTS:
-            raise frames.FrameError("too many requests that can't be used")
+            raise frames.FrameError("too many invalid requests on this connection")
 
     def _fail(self, text: str) -> None:
-        """Send the error, accept no more requests, and end once those in flight are answered."""
+        """Send the error, accept no more requests, and end after the last response."""
         self._write(frames.encode_error(text))
         self.end()
 
@@ -266,7 +266,7 @@
         self._frame_timer = None
         if timeout is not None:
             event_loop = asyncio.get_running_loop()
-            self._frame_timer = event_loop.call_later(timeout, self._fail, "no whole frame in time")
+            self._frame_timer = event_loop.call_later(timeout, self._fail, "frame not complete in time")
 
     def _respond(self, stream_id: int, response: Response) -> None:
         self.in_flight.pop(stream_id, None)
@@ -278,14 +278,14 @@
         try:
             self._stream.write_pieces(pieces)
         except StreamClosedError:
-            return  # the reader ends the connection
+            return  # serve() ends the connection
         unsent = self._stream.unsent_bytes
         if unsent > MAX_UNSENT_BYTES or (unsent and self._owner.exceeds_unsent_limit()):
-            log_line("a client does not read its answers: closed")
+            log_line("a client does not read its responses: connection closed")
             self._stream.close()
 
     def end(self) -> None:
-        """Accept no more requests; writing ends after the last response."""
+        """Accept no more requests; close the write side after the last response."""
         if not self.ending:
             self.ending = True
             self._set_frame_timeout(None)
@@ -302,25 +302,25 @@
             self.write_closed = True
             self._stream.half_close()
             self._owner.linger(self)
-            event_loop.call_later(LINGER_FOR, self._stream.close)
+            event_loop.call_later(LINGER_DURATION, self._stream.close)
         elif self._clock() > self._end_deadline:
             self._stream.close()
         else:
             event_loop.call_later(UNSENT_POLL_INTERVAL, self._finish_writing)
 
     def close(self) -> None:
-        """Close at once, over unread bytes: only where the descriptor is needed now."""
+        """Close at once, even with unread bytes: only where the descriptor is needed."""
         self._owner.discard(self)
         self._stream.close()
 
     @property
     def is_idle(self) -> bool:
-        """Nothing is in flight or unsent, and nothing has arrived that is not read yet."""
+        """Whether nothing is in flight, unsent or unread."""
         return not (self.in_flight or self.queued or self._stream.unsent_bytes or self._stream.is_stale())
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that the client has not taken yet."""
+        """Bytes not yet passed to the system, as the client does not read."""
         return self._stream.unsent_bytes
 
     def go_away(self) -> None:
--- a/hallproxy/run/downstream_connections.py
+++ b/hallproxy/run/downstream_connections.py
@@ -1,18 +1,18 @@
-"""All clients' connections to the platform's front: their limits, their queue and their end."""
+"""All clients' connections to the platform's front: their limits, request queue and shutdown."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
 
-from hallproxy.run.downstream_connection import LINGER_FOR, DownstreamConnection
+from hallproxy.run.downstream_connection import LINGER_DURATION, DownstreamConnection
 from hallproxy.run.effect_runner import EffectRunner
 from hallproxy.run.platform_teams import PlatformTeams
 from hallproxy.run.sockets import tcp_stream
 
-MAX_STARTS_PER_TURN = 16  # requests of all connections that are started in one turn of the event loop
+MAX_STARTS_PER_TURN = 16  # requests, of all connections, in one turn of the event loop
 MAX_LINGERING = 16  # connections; over that the oldest is closed at once
-SILENT_AFTER = 0.3  # s without a request from which a new connection may be ended for another
+SILENT_AGE = 0.3  # s from which a connection without a request is ended first for another
 END_POLL_INTERVAL = 0.002  # s
 
 
@@ -23,10 +23,10 @@
         self.runner = runner
         classes = runner.state.settings.classes
         self.class_indices = {request_class.name: n for n, request_class in enumerate(classes)}
-        self.connections: set[DownstreamConnection] = set()  # those whose writing has not ended
-        self.lingering: dict[DownstreamConnection, None] = {}  # the others, the oldest first
+        self.connections: set[DownstreamConnection] = set()  # those whose write side is open
+        self.lingering: dict[DownstreamConnection, None] = {}  # the others, oldest first
         self.teams: PlatformTeams | None = None  # None: requests are not attributed to teams
-        self.stopping = False  # the process shuts down: not ready for new requests
+        self.stopping = False  # the process is shutting down: not ready for new requests
         self.last_activity_at = 0.0  # event loop's time of the last request or connection
         self._queue: dict[tuple[DownstreamConnection, int], None] = {}  # in the order of arrival
         self._starts_left = MAX_STARTS_PER_TURN  # in this turn of the event loop
@@ -38,13 +38,13 @@
         self._queue[connection, stream_id] = None
 
     def dequeue(self, connection: DownstreamConnection, stream_id: int) -> None:
-        """Remove a queued request: it is cancelled, or its client has disconnected."""
+        """Remove a queued request that is cancelled, or whose client has disconnected."""
         self._queue.pop((connection, stream_id), None)
 
     def start_queued(self) -> None:
         """Start queued requests, a limited number in each turn of the event loop.
 
-        Between turns cancellations and disconnects are read, and those requests are not started.
+        Cancellations and disconnects are read between turns; those requests are not started.
         """
         while self._queue and self._starts_left:
             self._starts_left -= 1
@@ -62,7 +62,7 @@
 
     @property
     def has_unfinished(self) -> bool:
-        """Whether a request waits for its response, or a response for its client to read it."""
+        """Whether a request awaits its response, or a response is not sent completely."""
         return bool(self._queue or self.runner.state.awaiting_response) or any(
             c.unsent_bytes for c in self.connections
         )
@@ -77,19 +77,19 @@
         self.lingering.pop(connection, None)
 
     def linger(self, connection: DownstreamConnection) -> None:
-        """Move the connection to those whose writing has ended; over the limit the oldest is closed."""
+        """Move the connection to those whose write side is closed; over the limit the oldest is closed."""
         self.connections.discard(connection)
         self.lingering[connection] = None
         if len(self.lingering) > MAX_LINGERING:
             next(iter(self.lingering)).close()
 
     def _longest_idle(self) -> DownstreamConnection | None:
-        """The connection to end for another: a silent one first, then the one that is idle longest.
+        """The connection to end for another: one without a request first, then the one idle longest.
 
-        A request that crosses the end is sent again by its client, while a rejected connection is a failed
-        request. New connections come last: many are accepted before the first request of any is read.
+        A client retries a request that crosses the end, while a rejected connection is a failed request. New
+        connections come last, as many may be accepted before the first request of any is read.
         """
-        silent_since = asyncio.get_running_loop().time() - SILENT_AFTER
+        silent_since = asyncio.get_running_loop().time() - SILENT_AGE
 
         def rank(connection: DownstreamConnection) -> tuple[int, float]:
             if connection.has_requested:
@@ -102,14 +102,14 @@
         return None
 
     def free_descriptor(self) -> bool:
-        """Close a connection that is not needed, at once; returns whether there was one."""
+        """Close a connection that is not needed; returns whether there was one."""
         freed = next(iter(self.lingering), None) or self._longest_idle()
         if freed is not None:
             freed.close()
         return freed is not None
 
     def accept(self, sock: socket.socket, peer: tuple[str, int]) -> None:
-        """Serve a new connection; at the limit an idle one ends for it, or it is closed."""
+        """Serve a new connection; at the limit, end an idle one for it, or close it if there is none."""
         if len(self.connections) >= self.runner.state.limits.downstreams:
             idle = self._longest_idle()
             if idle is None:
@@ -124,13 +124,13 @@
         task.add_done_callback(self._tasks.discard)
 
     async def end(self, within: float) -> None:
-        """End every connection once it is idle, for ``within`` s or ``LINGER_FOR`` at most.
+        """End every connection once it is idle, for at most ``within`` s or ``LINGER_DURATION``.
 
-        Requests that have arrived by then are read and rejected. A later one meets a connection that has
-        ended in order, which its client sees, not one that is reset.
+        Requests that have arrived by then are read and rejected. A later one meets a connection that was
+        closed cleanly, which its client detects, not one that is reset.
         """
         clock = asyncio.get_running_loop().time
-        until = clock() + min(within, LINGER_FOR)
+        until = clock() + min(within, LINGER_DURATION)
         while (self.connections or self.lingering) and clock() < until:
             for connection in list(self.connections):
                 if connection.is_idle:
--- a/hallproxy/run/effect_runner.py
+++ b/hallproxy/run/effect_runner.py
@@ -24,8 +24,8 @@
 from hallproxy.state.model import GatewayState
 from hallproxy.state.reducer import reduce
 
-# Turns of the event loop from a timer to its event: one in which the sockets are looked at, as the timers may
-# have been looked at alone (after a signal), one in which a reader is woken, and one in which it has run.
+# Turns of the event loop from a timer to its event: one that polls the sockets, as the turn of the timer may
+# not have polled them (after a signal), one that wakes a reader, and one in which the reader has run.
 TIMER_TURNS = 3
 
 
@@ -49,7 +49,7 @@
 
 
 class EffectRunner:
-    """Owns the state: events enter by ``dispatch`` alone; fronts register a callback for each response."""
+    """Owns the state. ``dispatch`` is the only entry of events; fronts register a callback per response."""
 
     def __init__(self, state: GatewayState) -> None:
         self.state = state
@@ -57,25 +57,25 @@
         self.response_callbacks: dict[int, ResponseCallback] = {}
         self.extension_handler: Callable[[ExtensionEffect], None] = (
             lambda _: None
-        )  # what does the effects of further parts
+        )  # performs the effects of extensions
         self._events: deque[Event] = deque()
         self._dispatching = False
         self._last_downstream = 0
-        self._last = 0
+        self._last_time = 0  # Unix ns
 
     def now(self) -> int:
-        """The system's Unix clock in ns, which all rules are counted by; it never goes back here."""
-        self._last = max(self._last, time.time_ns())
-        return self._last
+        """Unix ns by the system's clock, which all rules use; monotonic here."""
+        self._last_time = max(self._last_time, time.time_ns())
+        return self._last_time
 
     def register_downstream(self, callback: ResponseCallback) -> int:
-        """A new downstream number, whose response ``callback`` is called with, once."""
+        """Allocate a downstream number; ``callback`` is called once, with its response."""
         self._last_downstream += 1
         self.response_callbacks[self._last_downstream] = callback
         return self._last_downstream
 
     def dispatch(self, event: Event) -> None:
-        """Reduce one event and perform its effects; events that those cause are reduced after them."""
+        """Reduce one event and perform its effects; events dispatched meanwhile are reduced after it."""
         self._events.append(event)
         if self._dispatching:
             return
@@ -114,16 +114,16 @@
                 self.extension_handler(effect)
 
     def _timer_due(self, event: Event) -> None:
-        if event.at > time.time_ns():  # the loop's clock and the system's differ by a little
+        if event.at > time.time_ns():  # the event loop's clock and the system's differ slightly
             asyncio.get_running_loop().call_later((event.at - time.time_ns()) / 1e9, self._timer_due, event)
         else:
             self._dispatch_after(event, TIMER_TURNS)
 
     def _dispatch_after(self, event: Event, turns: int) -> None:
-        """What the sockets held when a timer fell due came before it: the event is brought behind that.
+        """Dispatch the event some turns later, after what the sockets had received when its timer fired.
 
-        An answer, a cancel or a close that lies there unread must not be overtaken by the timer that would
-        do without it.
+        A response, a cancellation or a close that is still unread in a socket precedes the timer, which must
+        not act as if it had not arrived.
         """
         if turns:
             asyncio.get_running_loop().call_soon(self._dispatch_after, event, turns - 1)
--- a/hallproxy/run/gateway.py
+++ b/hallproxy/run/gateway.py
@@ -1,4 +1,4 @@
-"""The parts of one running gateway, and how they are built from its configuration."""
+"""The components of one running gateway, and how they are built from its configuration."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayFiles:
-    """Optional files beside the configuration; they are read again at each reload."""
+    """Optional files besides the configuration; each reload reads them again."""
 
     teams: Path | None = None
     change_logs: Path | None = None
@@ -29,11 +29,11 @@
 
 @dataclass(slots=True)
 class Gateway:
-    """The configuration at the start, and the parts that a reload or a shutdown acts on."""
+    """The configuration at the start, and the components that a reload or a shutdown acts on."""
 
     config: Config
     files: GatewayFiles
-    loop: EffectRunner
+    runner: EffectRunner
     codec: PlatformProtocol
     clients: DownstreamConnections
     class_names: list[str]
@@ -41,39 +41,39 @@
 
 
 def build(config: Config, files: GatewayFiles) -> Gateway:
-    """Build the parts and apply what the files contain. ConfigError where one of them can't be used."""
+    """Build the components and apply the files; ConfigError where one of them is invalid."""
     source = configured_source(config, files.change_logs)
-    loop = EffectRunner(
+    runner = EffectRunner(
         GatewayState(config.settings, Router(config.settings, config.seed), derive_limits(config))
     )
     codec = PlatformProtocol(config.settings)
-    loop.connections = UpstreamConnections(loop, codec)
-    since = _apply_known_events(loop, config)
+    runner.connections = UpstreamConnections(runner, codec)
+    since = _apply_known_events(runner, config)
     if source.sources is not None:
-        loop.dispatch(WatchCaughtUp(loop.now()))
+        runner.dispatch(WatchCaughtUp(runner.now()))
     class_names = [request_class.name for request_class in config.settings.classes]
-    gateway = Gateway(config, files, loop, codec, DownstreamConnections(loop), class_names)
+    gateway = Gateway(config, files, runner, codec, DownstreamConnections(runner), class_names)
     if files.teams is not None:
         apply_teams(gateway, platform_teams.load(files.teams, class_names))
-    gateway.poller = _poller(loop, source, since)
+    gateway.poller = _poller(runner, source, since)
     return gateway
 
 
 def apply_teams(gateway: Gateway, teams: platform_teams.PlatformTeams) -> None:
-    """Attribute requests to these teams and enforce their contracts from now on."""
+    """Attribute new requests to these teams and enforce their contracts."""
     gateway.clients.teams = teams
-    gateway.loop.dispatch(ContractsUpdated(gateway.loop.now(), teams.contracts))
+    gateway.runner.dispatch(ContractsUpdated(gateway.runner.now(), teams.contracts))
 
 
-def _apply_known_events(loop: EffectRunner, config: Config) -> int:
+def _apply_known_events(runner: EffectRunner, config: Config) -> int:
     """Apply the events that the configuration contains; returns the number of the last one."""
-    since, events = config.initial_events(loop.now())
+    since, events = config.initial_events(runner.now())
     for event in events:
-        loop.dispatch(event)
+        runner.dispatch(event)
     return since
 
 
-def _poller(loop: EffectRunner, source: ConfiguredSource, since: int) -> Poller | None:
+def _poller(runner: EffectRunner, source: ConfiguredSource, since: int) -> Poller | None:
     if source.sources is None:
         return None
-    return Poller(loop, source.sources, since, source.has_alternatives)
+    return Poller(runner, source.sources, since, source.has_alternatives)
--- a/hallproxy/run/limits.py
+++ b/hallproxy/run/limits.py
@@ -1,4 +1,4 @@
-"""How the configuration's memory and descriptors are divided among the parts of a gateway."""
+"""How the configured memory and descriptors are divided among the parts of a gateway."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from hallproxy.state.units import MB
 
 RESERVED_DESCRIPTORS = 48  # for the listener, the change log, standard error and connections being closed
-BASE_MEMORY = 24 * MB  # bytes that the program takes without any request, and a margin
-REQUEST_MEMORY = 16 * 1024  # bytes counted for an in-flight request, its body and its attempts included
-MIN_SPARE_MEMORY = 4 * MB
+BASE_MEMORY = 24 * MB  # bytes that the program uses without any request, and a margin
+REQUEST_MEMORY = 16 * 1024  # bytes counted for an in-flight request, with its body and its attempts
+MIN_SPARE_MEMORY = 4 * MB  # bytes
 MIN_UPSTREAM_CONNECTIONS = 8
 MAX_REQUESTS = 4_000
 IDLE_CLOSE_MARGIN = 3_000_000_000  # ns before the endpoint's idle timeout at which the gateway closes
@@ -20,7 +20,7 @@
 
 
 def derive_limits(config: Config) -> Limits:
-    """The limits of the state, so that memory and descriptors stay within the configuration's."""
+    """The state's limits, which keep memory and descriptors within the configuration's."""
     memory = config.memory_mb * MB
     spare = max(MIN_SPARE_MEMORY, memory - BASE_MEMORY)
     descriptors = _descriptors(config.sockets)
@@ -40,7 +40,7 @@
 
 
 def _descriptors(configured: int) -> int:
-    """The configured number, or the system's limit where that is lower."""
+    """The configured number, or the system's limit if it is lower."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return configured if limit == resource.RLIM_INFINITY else min(configured, limit)
 
--- a/hallproxy/run/log.py
+++ b/hallproxy/run/log.py
@@ -1,4 +1,4 @@
-"""The log, which is standard error: one line for each event."""
+"""The log on standard error: one line for each event."""
 
 from __future__ import annotations
 
--- a/hallproxy/run/platform_teams.py
+++ b/hallproxy/run/platform_teams.py
@@ -1,7 +1,7 @@
-"""Teams on the platform's front, from the operators' own file: by class and group of a request.
+"""Teams on the platform's front, from the operators' file, by class and group of a request.
 
-The platform's clients carry no token, so a request belongs to the first assignment that fits it. Contracts
-are written as in a contracts file; teams need no token here, and a service is just a name.
+The platform's clients send no token, so a request belongs to the first assignment that matches it. Contracts
+have the form of a contracts file; teams need no token here, and a service is just a name.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from hallproxy.state.events import ClientRequest
 
 GROUPS = 256
-NO_TOKEN = "0" * 64  # the schema's place for a token; nobody can present one here
+NO_TOKEN = "0" * 64  # the schema requires a digest; no client can present a token here
 KEYS = ("teams", "services", "organisations", "contracts", "assign")
 
 
@@ -26,25 +26,25 @@
     """The teams' contracts, and which team and service a request belongs to."""
 
     contracts: Contracts
-    owners: tuple[tuple[tuple[str, str], ...], ...]  # by class, by group: team and service
+    owners: tuple[tuple[tuple[str, str], ...], ...]  # [class index][group] -> team and service
 
     def assign_owner(self, request: ClientRequest, client_address: str) -> ClientRequest:
-        """The request with its team, its service and its client's address."""
+        """The request with its team, service and client address set."""
         team, service = self.owners[request.class_index][request.group]
         return replace(request, team=team, service=service, client_address=client_address)
 
 
 def load(path: Path, classes: Sequence[str]) -> PlatformTeams:
-    """Read and check the file whole; ConfigError, one plain line, where it can't be used."""
+    """Read and check the file; ConfigError with a one-line message where it is invalid."""
     top = read_toml(path)
     try:
-        assigned = top.pop("assign", None)
+        assignments = top.pop("assign", None)
         for team in top.get("teams", {}).values():
             team.setdefault("token_sha256", NO_TOKEN)
         for service in top.get("services", {}).values():
             service.setdefault("projects", ["*"])
         applied = applied_contracts(check(top))
-        return PlatformTeams(applied.contracts, _owners(assigned, applied.contracts, classes))
+        return PlatformTeams(applied.contracts, _owners(assignments, applied.contracts, classes))
     except (ContractError, ConfigError) as error:
         raise ConfigError(f"{path}: {error}") from None
     except (TypeError, AttributeError, ValueError) as error:
@@ -52,32 +52,32 @@
 
 
 def _owners(
-    assigned: Any, contracts: Contracts, classes: Sequence[str]
+    assignments: Any, contracts: Contracts, classes: Sequence[str]
 ) -> tuple[tuple[tuple[str, str], ...], ...]:
-    if not isinstance(assigned, list) or not all(isinstance(a, dict) for a in assigned):
+    if not isinstance(assignments, list) or not all(isinstance(a, dict) for a in assignments):
         raise ConfigError("assign is not a list of tables")
     owners: list[list[tuple[str, str] | None]] = [[None] * GROUPS for _ in classes]
-    for number, one in enumerate(assigned, 1):
+    for number, assignment in enumerate(assignments, 1):
         where = f"assign {number}"
-        for key in one:
+        for key in assignment:
             if key not in ("team", "service", "classes", "groups"):
                 raise ConfigError(f"{where}: unknown key {key!r}")
-        team, service = one.get("team"), one.get("service")
-        named = one.get("classes", list(classes))
-        if not isinstance(named, list) or not named:
-            raise ConfigError(f"{where}: classes is not a list of names")
-        first, last = _range(one.get("groups", [0, GROUPS - 1]), where)
-        for name in named:
+        team, service = assignment.get("team"), assignment.get("service")
+        class_names = assignment.get("classes", list(classes))
+        if not isinstance(class_names, list) or not class_names:
+            raise ConfigError(f"{where}: classes is not a non-empty list of names")
+        first, last = _range(assignment.get("groups", [0, GROUPS - 1]), where)
+        for name in class_names:
             if name not in classes:
-                raise ConfigError(f"{where}: {name!r} is no class of the settings")
+                raise ConfigError(f"{where}: {name!r} is not a class of the settings")
             if contracts.find(team, service, name) is None:
                 raise ConfigError(f"{where}: {team!r} has no contract for {service!r} and class {name!r}")
             row = owners[list(classes).index(name)]
             for group in range(first, last + 1):
-                row[group] = row[group] or (team, service)  # the first that fits
+                row[group] = row[group] or (team, service)  # the first match wins
     for name, row in zip(classes, owners, strict=True):
         if None in row:
-            raise ConfigError(f"class {name!r}, group {row.index(None)} is assigned to nobody")
+            raise ConfigError(f"class {name!r}, group {row.index(None)} is not assigned to a team")
     return tuple(tuple(owner for owner in row if owner is not None) for row in owners)
 
 
--- a/hallproxy/run/poll_connection.py
+++ b/hallproxy/run/poll_connection.py
@@ -1,4 +1,4 @@
-"""A connection to one address of the change log, on which polls follow one another."""
+"""A connection to one address of the change log, for consecutive polls."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hallproxy.wire.changelog import encode_poll
 from hallproxy.wire.http1 import Head
 
-MAX_PAGE_BYTES = 16 * 1024 * 1024  # as received, and again when decompressed
+MAX_PAGE_BYTES = 16 * 1024 * 1024  # of a body as received, and of the decompressed one
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class PollConnection:
-    """``fresh``: no poll has been sent on it yet."""
+    """A connection and its buffer; ``fresh``: no poll has been sent on it yet."""
 
     stream: Stream
     source: Address
@@ -36,7 +36,7 @@
 
     @classmethod
     def open(cls, source: Address) -> PollConnection:
-        """A connection that is not connected yet; OSError where there is no descriptor left."""
+        """Create a socket without connecting it; OSError where the process is out of descriptors."""
         return cls(tcp_stream(socket.socket(socket.AF_INET, socket.SOCK_STREAM)), source)
 
     async def connect(self, timeout: float) -> None:
@@ -44,7 +44,7 @@
         await asyncio.wait_for(self.stream.connect(self.source), timeout)
 
     def send_poll(self, since: int, wait: int, compressed: bool) -> None:
-        """Send a poll for the events after ``since``, which the source may hold for ``wait`` ms."""
+        """Send a poll for the events after ``since``; the source may hold it for ``wait`` ms."""
         host = f"{self.source[0]}:{self.source[1]}"
         self.stream.write_pieces([encode_poll(since, wait, host, compressed)])
 
@@ -54,5 +54,5 @@
         return head, await read_body(self.stream, self.buffer, head, MAX_PAGE_BYTES)
 
     def close(self) -> None:
-        """Close at once; a read that waits fails."""
+        """Close at once; a pending read fails."""
         self.stream.close()
--- a/hallproxy/run/reload.py
+++ b/hallproxy/run/reload.py
@@ -1,4 +1,4 @@
-"""Replace a running gateway's configuration; one that can't be used changes nothing."""
+"""Replacing a running gateway's configuration; an invalid one changes nothing."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 def reload(gateway: Gateway) -> None:
     """Read the configuration and its files and apply them together.
 
-    ConfigError or SettingsError where one of them can't be used; nothing has been applied then.
+    ConfigError or SettingsError where one of them is invalid; then nothing has been applied.
     """
     config = load(os.environ)
     _check_unchanged(gateway, config)
     source = configured_source(config, gateway.files.change_logs)
     if (source.sources is None) != (gateway.poller is None):
-        raise ConfigError("a change log where there was none, or none any more, needs a restart")
+        raise ConfigError("adding or removing the change log needs a restart")
     teams_file = gateway.files.teams
     teams = platform_teams.load(teams_file, gateway.class_names) if teams_file is not None else None
     check_settings(config.settings)
@@ -34,15 +34,15 @@
 def _check_unchanged(gateway: Gateway, config: Config) -> None:
     """ConfigError where the configuration changes what only a restart can change."""
     if [request_class.name for request_class in config.settings.classes] != gateway.class_names:
-        raise ConfigError("other classes need a restart")
-    former = gateway.config
-    if config.settings.zone != former.settings.zone or config.listen != former.listen:
-        raise ConfigError("another zone or address to listen on needs a restart")
+        raise ConfigError("changing the classes needs a restart")
+    previous = gateway.config
+    if config.settings.zone != previous.settings.zone or config.listen != previous.listen:
+        raise ConfigError("changing the zone or the listening address needs a restart")
 
 
 def _apply(gateway: Gateway, config: Config, source: ConfiguredSource) -> None:
-    loop = gateway.loop
+    runner = gateway.runner
     gateway.codec.settings = config.settings
-    loop.dispatch(Reconfigured(loop.now(), config.settings, derive_limits(config)))
+    runner.dispatch(Reconfigured(runner.now(), config.settings, derive_limits(config)))
     if gateway.poller is not None and source.sources is not None:
-        gateway.poller.reconfigure(source.sources, config.known, source.has_alternatives)
+        gateway.poller.reconfigure(source.sources, config.known_events, source.has_alternatives)
--- a/hallproxy/run/response_reader.py
+++ b/hallproxy/run/response_reader.py
@@ -5,19 +5,19 @@
 from hallproxy.run.sockets import Buffer, Stream
 from hallproxy.wire.http1 import Head, HttpError, decode_chunk_size, decode_response_head
 
-MAX_INTERIM_RESPONSES = 8  # heads until the final response's, that one included
+MAX_INTERIM_RESPONSES = 8  # heads read, including the final response's
 MAX_FRAMING_BYTES = 32_768  # chunk sizes and trailers of a chunked body
 MAX_LINE_BYTES = 4096  # of a chunk size or a trailer
-READ_BYTES = 2048  # free in the buffer for each read of a head or line
+READ_BYTES = 2048  # free space in the buffer for each read of a head or line
 FIRST_FINAL_STATUS = 200
 SWITCHING_PROTOCOLS = 101
 
 
 async def read_head(stream: Stream, buffer: Buffer, stall_timeout: float | None = None) -> Head:
-    """The final response's head, after interim ones (1xx).
+    """Read the final response's head, after interim ones (1xx); HttpError where there is no final one.
 
-    ``stall_timeout``: s without a byte after which a head that has begun has stopped short (TimeoutError).
-    Between an interim response and the final one there is no limit. HttpError where there is no final one.
+    ``stall_timeout``: s without a byte after which a head that has begun has stalled (TimeoutError). There is
+    no time limit between an interim response and the next head.
     """
     for _ in range(MAX_INTERIM_RESPONSES):
         while (head := decode_response_head(buffer.data, buffer.filled)) is None:
@@ -27,17 +27,17 @@
             return head
         if head.status == SWITCHING_PROTOCOLS:
             break
-    raise HttpError("interim answers and no final one")
+    raise HttpError("interim responses without a final one")
 
 
 async def read_body(
     stream: Stream, buffer: Buffer, head: Head, max_bytes: int, stall_timeout: float | None = None
 ) -> bytes:
-    """A response's complete body. One cut short raises, as does one over ``max_bytes`` (HttpError)."""
+    """Read a response's complete body. A truncated one raises, as does one over ``max_bytes`` (HttpError)."""
     if head.body_length is not None:
         return await _read_sized(stream, buffer, head.body_length, max_bytes, stall_timeout)
     if not head.chunked:
-        raise HttpError("a body without a length")
+        raise HttpError("body has neither Content-Length nor chunked coding")
     return await _read_chunked(stream, buffer, max_bytes, stall_timeout)
 
 
@@ -45,7 +45,7 @@
     stream: Stream, buffer: Buffer, length: int, max_bytes: int, stall_timeout: float | None
 ) -> bytes:
     if length > max_bytes:
-        raise HttpError(f"a body of {length} bytes")
+        raise HttpError(f"Content-Length {length} exceeds {max_bytes}")
     body = bytearray(length)
     received = min(length, buffer.filled)
     body[:received] = memoryview(buffer.data)[:received]
@@ -57,27 +57,27 @@
 
 async def _read_chunked(stream: Stream, buffer: Buffer, max_bytes: int, stall_timeout: float | None) -> bytes:
     body = bytearray()
-    framing = 0  # bytes of chunk sizes and trailers, which must be limited too
+    framing = 0  # bytes of chunk sizes and trailers, which need a limit too
     while length := decode_chunk_size(line := await _read_line(stream, buffer, stall_timeout)):
         framing += len(line)
         if len(body) + length > max_bytes:
-            raise HttpError(f"a body of over {max_bytes} bytes")
+            raise HttpError(f"chunked body exceeds {max_bytes} bytes")
         body += await _read_exactly(stream, buffer, length, stall_timeout)
         if await _read_line(stream, buffer, stall_timeout):
-            raise HttpError("a chunk longer than it says")
+            raise HttpError("chunk is longer than its size")
         if framing > MAX_FRAMING_BYTES:
-            raise HttpError("chunks that hold next to nothing")
+            raise HttpError(f"chunk sizes exceed {MAX_FRAMING_BYTES} bytes")
     while line := await _read_line(stream, buffer, stall_timeout):  # trailers
         framing += len(line)
         if framing > MAX_FRAMING_BYTES:
-            raise HttpError("trailers without end")
+            raise HttpError(f"chunk sizes and trailers exceed {MAX_FRAMING_BYTES} bytes")
     return bytes(body)
 
 
 async def _read_line(stream: Stream, buffer: Buffer, stall_timeout: float | None) -> bytes:
     while (end := buffer.data.find(b"\r\n", 0, buffer.filled)) < 0:
         if buffer.filled > MAX_LINE_BYTES:
-            raise HttpError("a line that is too long")
+            raise HttpError(f"line of a chunk size or trailer exceeds {MAX_LINE_BYTES} bytes")
         await buffer.fill(stream, READ_BYTES, stall_timeout)
     line = bytes(buffer.data[:end])
     buffer.discard(end + 2)
--- a/hallproxy/run/serve.py
+++ b/hallproxy/run/serve.py
@@ -1,4 +1,4 @@
-"""One gateway, from its start to the end of its shutdown."""
+"""Runs one gateway, from its start to the end of its shutdown."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from hallproxy.run.shutdown import drain
 from hallproxy.run.signals import Signals
 
-BACKLOG = 512  # connections that the system accepts ahead of the gateway
+BACKLOG = 512  # connections that the system establishes before the gateway accepts them
 
 
 async def serve(config: Config, files: GatewayFiles, signals: Signals) -> None:
@@ -28,19 +28,19 @@
         tasks.append(asyncio.ensure_future(gateway.poller.run()))
         await gateway.poller.wait_until_current()
     listeners = _listen(config.listen, gateway.clients)
-    # What the start has allocated stays: the collector need not visit it again.
+    # Objects allocated at the start are permanent: exclude them from garbage collection.
     gc.collect()
     gc.freeze()
     log_line(f"{config.name} listens on {config.listen[0]}:{listeners[0].sock.getsockname()[1]}")
     tasks.append(asyncio.ensure_future(signals.handle_reloads(partial(reload, gateway))))
     await signals.stopped.wait()
-    await drain(gateway.clients, gateway.loop, partial(_close, listeners))
+    await drain(gateway.clients, gateway.runner, partial(_close, listeners))
     for task in tasks:
         task.cancel()
 
 
-def _listen(where: Address, clients: DownstreamConnections) -> list[Listener]:
-    host, port = where
+def _listen(address: Address, clients: DownstreamConnections) -> list[Listener]:
+    host, port = address
     sockets = bind_sockets(port, host, backlog=BACKLOG)
     return [Listener(sock, clients.accept, clients.free_descriptor) for sock in sockets]
 
--- a/hallproxy/run/signals.py
+++ b/hallproxy/run/signals.py
@@ -18,26 +18,26 @@
         self.stopped = asyncio.Event()
         self.reload = asyncio.Event()
 
-    async def handle_reloads(self, take: Callable[[], None]) -> None:
-        """Call ``take`` at each SIGHUP, for ever. An error in the files is logged and changes nothing."""
+    async def handle_reloads(self, reload_configuration: Callable[[], None]) -> None:
+        """Call ``reload_configuration`` at each SIGHUP until cancelled; its errors are logged."""
         while True:
             await self.reload.wait()
             self.reload.clear()
             try:
-                take()
-                log_line("the configuration was read anew")
+                reload_configuration()
+                log_line("configuration reloaded")
             except (ConfigError, SettingsError) as error:
-                log_line(f"the configuration stays as it was: {error}")
-            except Exception as error:  # noqa: BLE001 - an unforeseen file must not end the gateway
-                log_line(f"the configuration stays as it was: {type(error).__name__} {error}")
+                log_line(f"configuration not reloaded: {error}")
+            except Exception as error:  # noqa: BLE001 - an unforeseen error in a file must not end the process
+                log_line(f"configuration not reloaded: {type(error).__name__} {error}")
 
 
 async def run_until_stopped(serve: Callable[[Signals], Awaitable[None]]) -> None:
-    """Run one role of the program with the process's signals."""
+    """Run one role of the program with the process's signals handled."""
     signals = Signals()
     event_loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         event_loop.add_signal_handler(number, signals.stopped.set)
     event_loop.add_signal_handler(signal.SIGHUP, signals.reload.set)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that came meanwhile is handled now
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # a pending one is handled now
     await serve(signals)
--- a/hallproxy/run/sockets.py
+++ b/hallproxy/run/sockets.py
@@ -1,4 +1,4 @@
-"""IOStreams with gathered writes, and a buffer that heads are parsed in where they lie."""
+"""IOStreams with gathered writes, a budget of body bytes, and a buffer for parsing in place."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 
 from tornado.iostream import IOStream, SSLIOStream, StreamClosedError
 
-INITIAL_BUFFER_SIZE = 16_384  # bytes a buffer starts with
-SCRATCH = bytearray(INITIAL_BUFFER_SIZE)  # of reads that do not wait: what came is taken out at once
+INITIAL_BUFFER_SIZE = 16_384  # bytes
+SCRATCH = bytearray(INITIAL_BUFFER_SIZE)  # for reads that do not wait; copied out at once
 
 
 class Stream(IOStream):
-    """An IOStream that takes several pieces in one write."""
+    """An IOStream with reads that do not wait and gathered writes."""
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that the other side has not taken yet."""
-        # A stream that has closed has no buffer any more, while its owner may still be listed as open.
+        """Bytes not yet passed to the system, as the peer does not read."""
+        # A closed stream has no buffer, while its owner may still list it as open.
         return 0 if self.closed() else len(self._write_buffer)
 
     def close(self, exc_info: Any = False) -> None:
-        """As IOStream's. The error's traceback holds the stream, and the stream the error: each connection
-        that was reset would stay in memory, its buffer too, until a full collection comes by."""
+        """As IOStream's. The error's traceback references the stream, and the stream the error: without the
+        cycle broken, each reset connection and its buffer would stay in memory until a full collection."""
         super().close(exc_info)
         if self.error is not None:
             self.error.__traceback__ = None
 
     async def read_some(self, into: memoryview, timeout: float | None = None) -> int:
-        """Read what there is, at least a byte; TimeoutError if none comes within so many seconds."""
+        """Read what is available, at least a byte; TimeoutError if there is none within ``timeout`` s."""
         reading = self.read_into(into, partial=True)  # type: ignore[arg-type]
         try:
-            # Most reads are over at once: a timer for each would cost more than they do.
+            # Most reads complete at once: a timer for each would cost more than the read.
             if timeout is not None and isinstance(reading, asyncio.Future) and not reading.done():
                 await asyncio.wait((reading,), timeout=timeout)
                 if not reading.done():
@@ -44,12 +44,12 @@
                     raise TimeoutError
             return await reading
         finally:
-            # An error's traceback holds this frame (or wait_for's) and the read holds the error: each
-            # connection that ends would stay in memory, its buffer too, until a full collection comes by.
+            # An error's traceback references this frame (or wait_for's), and the read the error: each ended
+            # connection and its buffer would stay in memory until a full collection.
             del reading
 
     def is_stale(self) -> bool:
-        """Whether the other side has closed, or has sent something that nobody has read yet."""
+        """Whether the peer has closed, or has sent data that has not been read."""
         if self.closed():
             return True
         try:
@@ -61,9 +61,9 @@
         return True
 
     def read_available(self, into: memoryview) -> int | None:
-        """Read without waiting: how many bytes; 0 at the other side's close; None if there is nothing.
+        """Read without waiting; returns the number of bytes, 0 at the peer's close, None if there are none.
 
-        StreamClosedError if the connection was reset. Only while no other read waits.
+        StreamClosedError if the connection was reset. Only while no other read is pending.
         """
         if self.closed():
             raise StreamClosedError(self.error)
@@ -75,15 +75,15 @@
             raise StreamClosedError(error) from None
 
     def half_close(self) -> None:
-        """End our direction behind all that was written; the other side may still send."""
+        """Close the write side after all that was written; the peer may still send."""
         if not self.closed():
-            with contextlib.suppress(OSError):  # it has closed already
+            with contextlib.suppress(OSError):  # the peer has closed
                 self.socket.shutdown(socket.SHUT_WR)
 
     def write_pieces(self, pieces: Sequence[bytes]) -> None:
-        """Write the pieces in their order: in one system call where the socket takes them.
+        """Write the pieces in order, in one system call if the socket accepts them.
 
-        What it does not take waits in the stream's own buffer, behind what waits there already.
+        What it does not accept is appended to the stream's own write buffer.
         """
         if self.closed():
             raise StreamClosedError(self.error)
@@ -100,84 +100,84 @@
             if sent >= len(piece):
                 sent -= len(piece)
                 continue
-            # The future is of no use here: a break shows at the reader, which is always waiting.
+            # The future is not needed: a failure shows at the reader, which is always waiting.
             self.write(memoryview(piece)[sent:] if sent else piece).add_done_callback(lambda f: f.exception())
             sent = 0
 
 
 class TlsStream(SSLIOStream, Stream):
-    """A Stream over TLS. Records can't be gathered or peeked at, so each write is one piece, and an idle
-    connection counts as usable until a read shows it closed: what is then lost was sent, and is repeated
-    only as its class allows."""
+    """A Stream over TLS. TLS records can't be gathered or peeked at, so each write is one piece, and an idle
+    connection counts as usable until a read finds it closed: a request lost that way counts as sent, and is
+    retried only as its class allows."""
 
     def is_stale(self) -> bool:
         """Whether the connection is known to have closed."""
         return self.closed()
 
     def write_pieces(self, pieces: Sequence[bytes]) -> None:
-        """Write the pieces in their order, as one."""
+        """Write the pieces in order, joined to one."""
         if self.closed():
             raise StreamClosedError(self.error)
         self.write(b"".join(pieces)).add_done_callback(lambda f: f.exception())
 
 
 def tls_client_stream(sock: socket.socket, context: ssl.SSLContext) -> Stream:
-    """A stream that speaks TLS with ``context`` once connected; its ``connect`` ends after the handshake."""
-    made = TlsStream(sock, ssl_options=context, max_buffer_size=1 << 40, read_chunk_size=65_536)
-    made.set_nodelay(True)
-    return made
+    """A stream that uses TLS with ``context``; its ``connect`` includes the handshake."""
+    stream = TlsStream(sock, ssl_options=context, max_buffer_size=1 << 40, read_chunk_size=65_536)
+    stream.set_nodelay(True)
+    return stream
 
 
 def tls_server_stream(sock: socket.socket, context: ssl.SSLContext) -> Stream:
-    """A client's connection that speaks TLS with ``context``; ``wait_for_handshake`` tells when it can."""
+    """A client's connection that uses TLS with ``context``, usable after ``wait_for_handshake``."""
     wrapped = context.wrap_socket(sock, server_side=True, do_handshake_on_connect=False)
-    made = TlsStream(wrapped, max_buffer_size=1 << 40, read_chunk_size=65_536)
-    made.set_nodelay(True)
-    return made
+    stream = TlsStream(wrapped, max_buffer_size=1 << 40, read_chunk_size=65_536)
+    stream.set_nodelay(True)
+    return stream
 
 
 def tcp_stream(sock: socket.socket) -> Stream:
-    """The read buffer of the stream's own is never filled: reads go into ours."""
-    # The stream's own limit would count what is read into our buffers too, which have bounds of their own.
-    made = Stream(sock, max_buffer_size=1 << 40, read_chunk_size=65_536)
-    made.set_nodelay(True)
-    return made
+    """A stream whose own read buffer is never filled, as reads go into a ``Buffer``."""
+    # The stream's own limit would also count what is read into a Buffer, whose users have their own limits.
+    stream = Stream(sock, max_buffer_size=1 << 40, read_chunk_size=65_536)
+    stream.set_nodelay(True)
+    return stream
 
 
 class ByteBudget:
-    """Bytes of bodies that may be in memory at once. A reader over the limit waits, and so does its sender.
+    """Limits the bytes of bodies in memory. A reader over the limit waits, which also stalls its sender.
 
-    Bodies over ``small`` bytes leave the last quarter to those under it, and the two wait in lines of their
-    own: a flood of large ones must not make the small ones wait. With ``small`` 0 all are alike.
+    Bodies over ``small_limit`` bytes leave the last quarter of the budget to the others, and the two kinds
+    have separate queues: many large bodies must not make small ones wait. 0: all bodies are alike.
     """
 
-    def __init__(self, most: Callable[[], int], small: Callable[[], int] = lambda: 0) -> None:
-        self._limit, self._small_limit = most, small  # asked each time: a reload may change them
-        self._acquired = 0
-        self._waiting: tuple[deque[asyncio.Future[None]], ...] = (deque(), deque())  # small, large
+    def __init__(self, limit: Callable[[], int], small_limit: Callable[[], int] = lambda: 0) -> None:
+        self._limit, self._small_limit = limit, small_limit  # called each time: a reload may change them
+        self._acquired = 0  # bytes
+        self._waiters: tuple[deque[asyncio.Future[None]], ...] = (deque(), deque())  # small, large
 
     async def acquire(self, size: int) -> None:
-        """Wait until ``size`` bytes are free, and take them."""
-        small = self._small_limit()
-        large = 0 < small < size
+        """Wait until ``size`` bytes are free, and reserve them."""
+        small_limit = self._small_limit()
+        large = 0 < small_limit < size
         while self._acquired and self._acquired + size > self._limit() * (3 if large else 4) // 4:
             waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            self._waiting[large].append(waiter)
+            self._waiters[large].append(waiter)
             await waiter
         self._acquired += size
 
     def release(self, size: int) -> None:
-        """Return ``size`` bytes, and wake who waits for them."""
+        """Release ``size`` bytes, and wake all waiters."""
         self._acquired -= size
-        for line in self._waiting:
-            while line:
-                waiter = line.popleft()
+        for queue in self._waiters:
+            while queue:
+                waiter = queue.popleft()
                 if not waiter.done():
                     waiter.set_result(None)
 
 
 class Buffer:
-    """Bytes as they came; ``filled`` of them count, from the start."""
+    """Received bytes: the first ``filled`` ones of ``data``."""
 
     __slots__ = ("data", "filled")
 
@@ -186,25 +186,25 @@
         self.filled = 0
 
     async def fill(self, source: Stream, min_free: int = 1, timeout: float | None = None) -> None:
-        """Read what there is, after making room for so many bytes; TimeoutError if nothing comes."""
+        """Read what is available, with at least ``min_free`` bytes free; TimeoutError as in ``read_some``."""
         if len(self.data) - self.filled < min_free:
             self.data.extend(bytes(min_free - (len(self.data) - self.filled)))
         self.filled += await source.read_some(memoryview(self.data)[self.filled :], timeout)
 
     def fill_available(self, source: Stream, max_bytes: int) -> int | None:
-        """Read without waiting up to ``max_bytes`` bytes; as ``Stream.read_available`` says."""
+        """Read up to ``max_bytes`` bytes without waiting; returns the same as ``Stream.read_available``."""
         size = source.read_available(memoryview(SCRATCH)[:max_bytes])
         if size:
-            # Only what came makes it grow: many connections rest, each with a buffer of its own.
+            # Grows by the received bytes only: many connections are idle, each with its own buffer.
             self.data[self.filled : self.filled + size] = SCRATCH[:size]
             self.filled += size
         return size
 
     def discard(self, size: int) -> None:
-        """Forget the first so many bytes."""
-        rest = self.filled - size
-        if rest:
-            self.data[:rest] = self.data[size : self.filled]
-        self.filled = rest
-        if rest <= INITIAL_BUFFER_SIZE < len(self.data):
-            self.data = self.data[:INITIAL_BUFFER_SIZE]  # a large message must not hold its memory for good
+        """Discard the first ``size`` bytes."""
+        remaining = self.filled - size
+        if remaining:
+            self.data[:remaining] = self.data[size : self.filled]
+        self.filled = remaining
+        if remaining <= INITIAL_BUFFER_SIZE < len(self.data):
+            self.data = self.data[:INITIAL_BUFFER_SIZE]  # frees the memory of a large message
--- a/hallproxy/run/upstream_connections.py
+++ b/hallproxy/run/upstream_connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: one task each, from the connect to the close."""
+"""Connections to endpoints, with one task for each."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 )
 from hallproxy.wire.http1 import Head, HttpError
 
-THREAD_DECODE_BYTES = 262_144  # of a body from which it is decoded in a thread; the platform's are smaller
-CHUNKED_BODY_BYTES = 1024 * 1024  # that a body of unknown length counts as
-READ_BYTES = 2048  # free in the buffer for the first read of a response
+THREAD_DECODE_BYTES = 262_144  # size from which a body is decoded in a thread; the platform's are smaller
+CHUNKED_BODY_BYTES = 1024 * 1024  # counted in the budget for a body of unknown length
+READ_BYTES = 2048  # free space in the buffer for the first read of a response
 CREDENTIAL_REJECTIONS = (401, 403, 407)  # statuses; the operator's credentials are wrong, not the endpoint
 
 
 class ProtocolCodec(Protocol):
     """How requests are encoded for the endpoints of one front, and their responses decoded."""
 
-    max_body_bytes: int  # bytes of a body
+    max_body_bytes: int
 
     @property
     def stall_timeout(self) -> float:
-        """Seconds without a byte after which a response that has begun has stopped short."""
+        """Seconds without a byte after which a response that has begun counts as stalled."""
         ...
 
     def head(self, request: UpstreamRequest, host: str) -> bytes:
@@ -46,13 +46,13 @@
         ...
 
     def tls(self, host: str) -> tuple[ssl.SSLContext, str] | None:
-        """The context and the name to check; None: without TLS."""
+        """The context, and the name to verify; None: without TLS."""
         ...
 
     def read(
         self, request: UpstreamRequest, head: Head, body: bytes, sent_at: int, host: str
     ) -> AttemptResult:
-        """What the complete response means for the attempt."""
+        """The attempt's result for the complete response."""
         ...
 
 
@@ -62,15 +62,15 @@
     async def receive(
         self, stream: Stream, buffer: Buffer, stall_timeout: float, sent_at: int
     ) -> AttemptResult:
-        """Receive the complete body. A broken connection raises; what arrived is kept for a resumption.
+        """Receive the complete body. A failed connection raises; the received part is kept to be resumed.
 
-        ``stall_timeout``: s without a byte after which the response has stopped short. ``sent_at``: Unix ns.
+        ``stall_timeout``: s without a byte after which the response has stalled. ``sent_at``: Unix ns.
         """
         ...
 
 
 class Downloads(Protocol):
-    """Chooses the response bodies that go to disk."""
+    """Selects the response bodies that go to disk."""
 
     def with_range(self, request: UpstreamRequest, host: str) -> UpstreamRequest:
         """The request, with a range for the rest where a partial download can be resumed."""
@@ -88,7 +88,7 @@
     number: int  # the reducer's
     stream: Stream
     host: str
-    tls_name: str | None  # that the certificate must have; None: without TLS
+    tls_name: str | None  # name that the certificate must have; None: without TLS
     buffer: Buffer = field(default_factory=Buffer)
     request: UpstreamRequest | None = None
     sent_at: int = 0  # Unix ns
@@ -105,7 +105,7 @@
         self._connections: dict[int, _Connection] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self.downloads: Downloads | None = None  # None: every body is read into memory
-        self._rejections: dict[str, int] = {}  # by host: the status last logged; one for each endpoint
+        self._rejections: dict[str, int] = {}  # host -> status last logged; one for each endpoint
 
     def open(self, number: int, host: str) -> None:
         """Connect to ``host`` (HOST:PORT); the outcome is dispatched."""
@@ -125,15 +125,15 @@
         task.add_done_callback(self._tasks.discard)
 
     def send(self, number: int, effect: SendRequest) -> None:
-        """Send the request; a connection that is not usable any more is closed without having sent it."""
+        """Send the request; a connection that is no longer usable is closed, with the request unsent."""
         connection = self._connections.get(number)
         if connection is None:
-            return  # it has just broken, and its ConnectionClosed is about to be dispatched
+            return  # it has just failed, and its ConnectionClosed is about to be dispatched
         request = effect.request
         if self.downloads is not None:
             request = self.downloads.with_range(request, connection.host)
         if connection.stream.is_stale():
-            # Closed, reset or sent to while it was idle: nothing was sent, so another may carry the request.
+            # Closed, reset or sent to while it was idle: the request is unsent, and can use another one.
             self._close_unused(number)
             return
         connection.request = request
@@ -142,11 +142,11 @@
         try:
             connection.stream.write_pieces([head, request.body] if request.body else [head])
         except StreamClosedError:
-            # Broken since that check: the system took no byte, so the endpoint can't have run it.
+            # Failed since that check: the system accepted no byte, so the endpoint can't have run it.
             self._close_unused(number)
 
     def close(self, number: int) -> None:
-        """Close at once, whatever is in flight."""
+        """Close at once, even with a request in flight."""
         connection = self._connections.pop(number, None)
         if connection is not None:
             connection.request = None
@@ -160,25 +160,25 @@
         return connection.number in self._connections
 
     async def _serve(self, connection: _Connection) -> None:
-        """From the connect to the close."""
+        """Connect, then receive responses until the connection closes."""
         host = connection.host
         try:
             if not self._is_open(connection):
-                return  # closed before the task has begun
+                return  # closed before the task started
             await self._connect(connection)
             self._runner.dispatch(ConnectionOpened(self._runner.now(), connection.number))
             while self._is_open(connection):
                 if not await self._receive_response(connection):
                     return
         except TimeoutError:
-            # A response that begins, stops and stays open would take its request's whole time.
-            log_line(f"store {host}: an answer that stopped short")
+            # Without this a response that stalls would use up its request's time.
+            log_line(f"store {host}: response stalled, connection closed")
         except (StreamClosedError, OSError, ConfigError):
             pass
         except HttpError as error:
             log_line(f"store {host}: {error}")
         finally:
-            # Also after an unforeseen error: an attempt must never wait for a reader that has ended.
+            # Even after an unexpected error: an attempt must never wait for a reader that has ended.
             if self._is_open(connection):
                 self._runner.dispatch(ConnectionClosed(self._runner.now(), connection.number))
                 self.close(connection.number)
@@ -193,24 +193,24 @@
             raise
 
     def _log_rejection(self, host: str, status: int) -> None:
-        """Log a rejection of the credentials, and its end, once instead of for each request."""
+        """Log the begin and the end of rejections of the credentials, not each of them."""
         rejection = status if status in CREDENTIAL_REJECTIONS else 0
         if self._rejections.get(host, 0) == rejection:
             return
         if rejection:
-            log_line(f"store {host}: refuses who asks ({rejection}); look at the credentials")
+            log_line(f"store {host}: rejects the credentials ({rejection}); check the configured ones")
         elif host in self._rejections:
-            log_line(f"store {host}: lets who asks in again")
+            log_line(f"store {host}: accepts the credentials again")
         self._rejections[host] = rejection
 
     async def _receive_response(self, connection: _Connection) -> bool:
-        """Receive and dispatch one response; false: nothing waits for it any more."""
+        """Receive and dispatch one response; returns whether the connection stays open."""
         buffer = connection.buffer
         if not buffer.filled:
             await buffer.fill(connection.stream, READ_BYTES)
         if connection.request is None:
-            # These bytes would be taken for the next response.
-            raise HttpError("bytes that nobody asked for")
+            # These bytes would be taken for the next request's response.
+            raise HttpError("data received without a request in flight")
         head = await read_head(connection.stream, buffer, self._codec.stall_timeout)
         self._log_rejection(connection.host, head.status)
         if self.downloads is not None:
@@ -234,28 +234,28 @@
         request = connection.request
         connection.request = None
         if request is None:
-            raise HttpError("an answer that nobody asked for")
+            raise HttpError("response without a request in flight")
         sent_at, host = connection.sent_at, connection.host
         if len(body) < THREAD_DECODE_BYTES:
             result = codec.read(request, head, body, sent_at, host)
         else:
-            # A large index takes seconds to decode, a large file to hash.
+            # Decoding a large index or hashing a large file takes seconds.
             result = await asyncio.to_thread(codec.read, request, head, body, sent_at, host)
             if not self._is_open(connection):
                 return False
-        # Bytes after the response belong to no request: the connection is not used again.
+        # Bytes after the response belong to no request: the connection is not reused.
         reusable = head.keep_alive and not buffer.filled and not stream.closed()
         event = ResponseReceived(self._runner.now(), connection.number, result, reusable)
         self._runner.dispatch(event)
         return True
 
     async def _receive_download(self, connection: _Connection, head: Head, download: Download) -> bool:
-        """Receive a body to disk; the result names the file."""
+        """Receive a body to disk; the result contains the file's name."""
         stream, buffer = connection.stream, connection.buffer
         result = await download.receive(stream, buffer, self._codec.stall_timeout, connection.sent_at)
         expected = connection.request is not None
         connection.request = None
-        # A disk that failed has left a part of this body unread.
+        # After a disk failure a part of this body is unread.
         complete = result.reason is not FailureReason.BUSY
         reusable = expected and complete and head.keep_alive and not buffer.filled and not stream.closed()
         event = ResponseReceived(self._runner.now(), connection.number, result, reusable)
@@ -265,20 +265,20 @@
 
 def _request(connection: _Connection) -> UpstreamRequest:
     if connection.request is None:
-        raise HttpError("an answer that nobody asked for")
+        raise HttpError("response without a request in flight")
     return connection.request
 
 
 def _log_tls_failure(host: str, error: Exception) -> None:
-    """Log why a handshake failed: the operator can correct an untrusted or misnamed certificate.
+    """Log why a handshake failed, as an operator can correct an untrusted or misnamed certificate.
 
     An endpoint that is down is not logged: its connects fail the same way without TLS.
     """
-    real = error.real_error if isinstance(error, StreamClosedError) else error
-    if isinstance(real, ConnectionRefusedError):
+    cause = error.real_error if isinstance(error, StreamClosedError) else error
+    if isinstance(cause, ConnectionRefusedError):
         return
-    if isinstance(real, ssl.SSLCertVerificationError):
-        log_line(f"store {host}: its certificate is not trusted: {real.verify_message}")
+    if isinstance(cause, ssl.SSLCertVerificationError):
+        log_line(f"store {host}: its certificate is not trusted: {cause.verify_message}")
         return
-    reason = real.reason if isinstance(real, ssl.SSLError) else real
-    log_line(f"store {host}: TLS failed: {reason or 'the connection closed in the handshake'}")
+    reason = cause.reason if isinstance(cause, ssl.SSLError) else cause
+    log_line(f"store {host}: TLS failed: {reason or 'connection closed during the handshake'}")
--- a/hallproxy/run/usage.py
+++ b/hallproxy/run/usage.py
@@ -1,4 +1,4 @@
-"""The command that shows the usage of teams at a running front, and the front's capacity."""
+"""The ``usage`` command: shows the usage of teams at a running front, and the front's capacity."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from hallproxy.run.config import ConfigError, address
 
 COLUMNS = ("asked", "served", "in time", "served here", "left", "retries spent")  # labels of the usage report
-REJECTED = "refused"  # the beginning of the report's labels of rejections
+REJECTED = "refused"  # prefix of the report's labels of rejections
 HTTP_OK = 200
 TIMEOUT = 5.0  # s
 
 
 def fetch(front: str, team: str, token: str, timeout: float = TIMEOUT) -> dict[str, Any]:
-    """The usage report of the front at HOST:PORT; ConfigError, one plain line, where there is none.
+    """Fetch the usage report of the front at HOST:PORT; ConfigError with a one-line message on failure.
 
-    ``timeout`` (s) is that of each step on the connection.
+    ``timeout`` (s) applies to each operation on the connection.
     """
     host, port = address(front)
     credentials = base64.b64encode(f"{team}:{token}".encode()).decode()
@@ -29,17 +29,17 @@
             response = connection.getresponse()
             body = response.read()
     except (OSError, http.client.HTTPException) as error:
-        raise ConfigError(f"{front} does not answer: {error}") from None
+        raise ConfigError(f"{front} did not respond: {error}") from None
     if response.status != HTTP_OK:
-        raise ConfigError(f"{front} says {response.status}: {body.decode(errors='replace').strip()}")
+        raise ConfigError(f"{front} responded {response.status}: {body.decode(errors='replace').strip()}")
     report = json.loads(body)
     if not isinstance(report, dict):
-        raise ConfigError(f"{front} says something else")
+        raise ConfigError(f"{front} did not send a usage report")
     return report
 
 
 def format_report(report: dict[str, Any]) -> list[str]:
-    """A table of teams, the reasons of each team's rejections, and the capacity where an operator asks."""
+    """A table of teams, the reasons of each team's rejections, and the capacity if the report has it."""
     teams = report.get("teams", {})
     header = ("team", *COLUMNS, REJECTED, "p50 ms", "p99 ms", "places", "lent")
     lines = _aligned([header, *(_row(name, usage) for name, usage in teams.items())])
@@ -62,7 +62,7 @@
 
 
 def _aligned(rows: list[tuple[str, ...]]) -> list[str]:
-    """The rows with columns of one width, the first to the left and the others to the right."""
+    """The rows with aligned columns, the first to the left and the others to the right."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     lines = []
     for first, *others in rows:
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -501,12 +501,12 @@
         kept = dict(relay.keys)
         relay.write(**{**bad, "current_ms": 2000})
         relay.program.process.send_signal(signal.SIGHUP)
-        until(lambda: sum("stays as it was" in line for line in relay.program.lines))
+        until(lambda: sum("configuration not reloaded" in line for line in relay.program.lines))
         relay.program.lines.clear()
         relay.keys = kept
     relay.write(followers=5, upstream=["127.0.0.1:1", log.address])
     relay.program.process.send_signal(signal.SIGHUP)
-    until(lambda: "the configuration was read anew" in relay.program.lines)
+    until(lambda: "configuration reloaded" in relay.program.lines)
     assert relay.changes(0)[0] == 200 and len(relay.status()["upstream"]) == 2
 
 
--- a/tests/relay/test_relay_failures.py
+++ b/tests/relay/test_relay_failures.py
@@ -1266,7 +1266,7 @@
         before = said(one)
         one.send_sighup()
         until(lambda before=before: said(one) > before)  # type: ignore[misc]
-        assert "stays as it was" in one.program.lines[-1]
+        assert "configuration not reloaded" in one.program.lines[-1]
         seq = log.add(purge_event(2))
         until(lambda seq=seq: one.caught_up_to(seq))  # type: ignore[misc]
 
--- a/tests/repository/test_repository.py
+++ b/tests/repository/test_repository.py
@@ -383,12 +383,12 @@
 @pytest.mark.parametrize(
     ("changed", "says"),
     [
-        (('listen = "127.0.0.1:8081"', 'listen = "here"'), "no address"),
+        (('listen = "127.0.0.1:8081"', 'listen = "here"'), "not an address"),
         (('listen = "127.0.0.1:8081"', "listen = "), "not TOML"),
         (('name = "package"', 'name = "other"'), "no class package"),
         (("file_most_mb", "file_most"), "unknown key"),
         (("file_most_mb = 16", "file_most_mb = -1"), "file_most_mb"),
-        (('address = "127.0.0.1:8082"', 'address = "x"'), "no address"),
+        (('address = "127.0.0.1:8082"', 'address = "x"'), "not an address"),
         (("tick_ns = 2_000_000", ""), "missing"),
     ],
 )
@@ -446,7 +446,7 @@
     text = path.read_text()
     path.write_text("listen = ")
     front.program.process.send_signal(signal.SIGHUP)
-    until(lambda: any("stays as it was" in x for x in front.program.lines))
+    until(lambda: any("configuration not reloaded" in x for x in front.program.lines))
     fresh = RepositoryStandIn()
     fresh.files = {"other-1.0.tar.gz": b"other"}
     text = text.replace(front.log.address, new.address)
--- a/tests/repository/test_upstream_options.py
+++ b/tests/repository/test_upstream_options.py
@@ -129,5 +129,5 @@
     assert got.status == 502 and b"wrong" not in got.body and "wrong" not in json.dumps(got.fields)
     assert not [line for line in front.program.lines if "wrong" in line or "d3Jvbmc" in line]
     front.get(f"/simple/{PROJECT}/", Accept=simple.JSON)
-    told = until(lambda: [line for line in front.program.lines if "refuses who asks (401)" in line])
+    told = until(lambda: [line for line in front.program.lines if "rejects the credentials (401)" in line])
     assert len(told) == 1  # once for the change, not for each request
--- a/tests/repository/test_upstream_tls.py
+++ b/tests/repository/test_upstream_tls.py
@@ -125,7 +125,7 @@
     start_with_certificate(front, first)
     (front.path / "server.pem").write_text("not a certificate")
     front.program.process.send_signal(signal.SIGHUP)
-    until(lambda: any("stays as it was" in x for x in front.program.lines))
+    until(lambda: any("configuration not reloaded" in x for x in front.program.lines))
     assert https_get(front, first, "/simple/")[0] == 200
     write_certificate(front, second)
     front.program.process.send_signal(signal.SIGHUP)
--- a/tests/routes/test_routed_front.py
+++ b/tests/routes/test_routed_front.py
@@ -101,7 +101,7 @@
     text = path.read_text()
     path.write_text(text.replace('upstreams = [["r-0"]]', 'upstreams = [["r-9"]]'))
     front.program.process.send_signal(signal.SIGHUP)
-    until(lambda: any("stays as it was" in x and "r-9" in x for x in front.program.lines))
+    until(lambda: any("configuration not reloaded" in x and "r-9" in x for x in front.program.lines))
     assert front.get(f"/simple/{PROJECT}/", Accept=simple.JSON).status == 404 and not requested_paths(public)
     path.write_text(text.replace('upstreams = [["r-0"]]', 'upstreams = [["r-0"], ["r-1"]]'))
     front.program.process.send_signal(signal.SIGHUP)
--- a/tests/run/test_change_log_sources.py
+++ b/tests/run/test_change_log_sources.py
@@ -451,7 +451,7 @@
                 assert those[1].asked[0] == (0, 0)
 
         asyncio.run(play())
-    assert not any("beginning with" in x for x in lines)
+    assert not any("starting with" in x for x in lines)
 
 
 @pytest.mark.timing("each purge is held within 0.4 s")
@@ -1000,7 +1000,7 @@
         new = [Relay(those[0].log)]
         file = logs_file(tmp_path, new, spread_ms='"much"')
         reload_config(platform)
-        assert any("stays as it was" in x and "spread_ms" in x for x in platform.program.lines)
+        assert any("configuration not reloaded" in x and "spread_ms" in x for x in platform.program.lines)
         those[0].log.add(invalidate=purge(1))
         until(lambda: held(those, 2))
         assert not new[0].asked
--- a/tests/run/test_event_races.py
+++ b/tests/run/test_event_races.py
@@ -465,7 +465,7 @@
     client.send_request(row=1, ttl="5000")
     until(lambda: platform.requests)
     platform.program.process.send_signal(signal.SIGTERM)
-    until(lambda: any("is refused" in x for x in platform.program.lines))
+    until(lambda: any("new requests are rejected" in x for x in platform.program.lines))
     assert (frame := other.read_frame()) is not None and frame[0] == frames.GO_AWAY
     other.send_frame(frames.READINESS_REQUEST, 0)
     assert (frame := other.read_frame()) is not None and frame[2][0] == REFUSED
--- a/tests/run/test_platform.py
+++ b/tests/run/test_platform.py
@@ -421,8 +421,8 @@
     [
         (None, "can't be read"),
         ("{", "not JSON"),
-        ("[]", "no object"),
-        ('{"listen": "x"}', "no address"),
+        ("[]", "not a JSON object"),
+        ('{"listen": "x"}', "not an address"),
         ('{"listen": "127.0.0.1:0", "seed": "1"}', "settings"),
         ('{"listen": "127.0.0.1:0", "settings": {"bounds": {}}}', "missing"),
     ],
--- a/tests/run/test_reload.py
+++ b/tests/run/test_reload.py
@@ -83,7 +83,7 @@
     reload_config(
         platform, json.dumps(held) if text.startswith("other") else text, changelog=ChangeLog().address
     )
-    assert any("stays as it was" in x for x in platform.program.lines)
+    assert any("configuration not reloaded" in x for x in platform.program.lines)
     platform.publish(invalidate={"object": f"{7:016x}", "time": now_ms()})  # still heard from the old log
     client = platform.client()
     client.send_request()
@@ -156,7 +156,7 @@
     client = platform.client()
     client.send_request()
     assert client.read_response()[0] == SERVED
-    assert any("beginning with what the configuration knows" in x for x in platform.program.lines)
+    assert any("starting with the events in the configuration" in x for x in platform.program.lines)
     assert platform.program.stop() == 0
 
 
@@ -177,7 +177,7 @@
         for _ in range(3):
             begun.send_signal(signal.SIGHUP)
         lines = iter(begun.stderr.readline, "")
-        assert any("the configuration was read anew" in line for line in lines)
+        assert any("configuration reloaded" in line for line in lines)
         begun.terminate()
         assert begun.wait(10) == 0
     finally:
--- a/tests/run/test_team_fronts.py
+++ b/tests/run/test_team_fronts.py
@@ -80,11 +80,15 @@
     client, file = platform.client(), platform.path / "teams.toml"
     file.write_text(TEAMS.replace("groups = [0, 9]", "groups = [0, 900]"))
     platform.program.process.send_signal(signal.SIGHUP)
-    until(lambda: any("stays as it was" in line and "groups" in line for line in platform.program.lines))
+    until(
+        lambda: any(
+            "configuration not reloaded" in line and "groups" in line for line in platform.program.lines
+        )
+    )
     of_b = 'team = "b"\nservice = "s"\n'
     file.write_text(TEAMS.replace(of_b, of_b + "rate = 0.01\nburst = 1\n", 1))
     platform.program.process.send_signal(signal.SIGHUP)
-    until(lambda: any("was read anew" in line for line in platform.program.lines))
+    until(lambda: any("configuration reloaded" in line for line in platform.program.lines))
     said = []
     for n in range(2):
         client.send_request(op="small", row=n, batch="200")
@@ -99,8 +103,8 @@
             ('team = "b"\nservice = "s"\n[[assign]]', 'team = "c"\nservice = "s"\n[[assign]]'),
             "'c' is not among",
         ),
-        (("groups = [0, 9]", 'classes = ["nothing"]'), "'nothing' is no class"),
-        (('[[assign]]\nteam = "b"\nservice = "s"\n', ""), "assigned to nobody"),
+        (("groups = [0, 9]", 'classes = ["nothing"]'), "'nothing' is not a class"),
+        (('[[assign]]\nteam = "b"\nservice = "s"\n', ""), "not assigned to a team"),
         (("burst = 3", "burst = -3"), "burst"),
         (("rate = 0.01\n", ""), "burst without rate"),
         (("[teams.a]", "[teams.a]\nweight = 0"), "weight"),
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -52,4 +52,4 @@
 
 def reload_count(program: Program) -> int:
     """How many reloads the program has logged, successful or not."""
-    return sum(line.startswith("the configuration") for line in program.lines)
+    return sum(line.startswith("configuration ") for line in program.lines)
