--- a/tests/run/test_contracts.py
+++ b/tests/run/test_contracts.py
@@ -1,4 +1,4 @@
-"""Contracts files, plans and what ``apply`` does with them."""
+"""Contracts files, and the ``plan`` and ``apply`` commands."""
 
 from __future__ import annotations
 
@@ -26,39 +26,39 @@
 """
 
 
-def command(*words: object) -> tuple[int, str, str]:
-    ran = subprocess.run(
-        [sys.executable, "-m", "hallproxy", *map(str, words)], cwd=ROOT, capture_output=True, text=True
+def command(*arguments: object) -> tuple[int, str, str]:
+    result = subprocess.run(
+        [sys.executable, "-m", "hallproxy", *map(str, arguments)], cwd=ROOT, capture_output=True, text=True
     )
-    assert "Traceback" not in ran.stderr
-    return ran.returncode, ran.stdout, ran.stderr
+    assert "Traceback" not in result.stderr
+    return result.returncode, result.stdout, result.stderr
 
 
 def test_plan_apply_again_and_stale(tmp_path: Path) -> None:
     file, state = tmp_path / "contracts.toml", tmp_path / "state.json"
     first, second = tmp_path / "first.plan", tmp_path / "second.plan"
     file.write_text(FILE)
-    code, said, _ = command("plan", file, "--state", state, "--out", first)
+    code, output, _ = command("plan", file, "--state", state, "--out", first)
     assert code == 0 and not state.exists()
-    assert said.splitlines()[:3] == [
+    assert output.splitlines()[:3] == [
         "+ team stations", "+ service firmware", "+ contract stations/firmware/"
     ]  # fmt: skip
     file.write_text(FILE.replace("requests = 10", "requests = 20"))
     assert command("plan", file, "--state", state, "--out", second)[0] == 0
     assert command("apply", first, "--state", state)[0] == 0
     applied = state.read_text()
-    code, said, _ = command("apply", first, "--state", state)
-    assert (code, said, state.read_text()) == (0, "nothing to change\n", applied)
-    code, _, said = command("apply", second, "--state", state)
-    assert code == 1 and "stale" in said and said.count("\n") == 1 and state.read_text() == applied
-    code, said, _ = command("plan", file, "--state", state, "--out", second)
-    assert "~ contract stations/firmware/: requests 10 -> 20" in said
+    code, output, _ = command("apply", first, "--state", state)
+    assert (code, output, state.read_text()) == (0, "nothing to change\n", applied)
+    code, _, error = command("apply", second, "--state", state)
+    assert code == 1 and "stale" in error and error.count("\n") == 1 and state.read_text() == applied
+    code, output, _ = command("plan", file, "--state", state, "--out", second)
+    assert "~ contract stations/firmware/: requests 10 -> 20" in output
     assert command("apply", second, "--state", state)[0] == 0 and json.loads(state.read_text())["serial"] == 2
     assert command("plan", file, "--state", state)[1].startswith("nothing to change")
 
 
 @pytest.mark.parametrize(
-    ("changed", "says"),
+    ("replacement", "message"),
     [
         (("[teams", "[team"), "unknown key 'team'"),
         ((TOKEN, "abc"), "token_sha256"),
@@ -72,34 +72,36 @@
         (("[teams", "[[teams"), "not TOML"),
     ],
 )
-def test_a_bad_file_is_one_plain_line(tmp_path: Path, changed: tuple[str, str], says: str) -> None:
+def test_an_invalid_file_is_reported_in_one_line(
+    tmp_path: Path, replacement: tuple[str, str], message: str
+) -> None:
     file = tmp_path / "contracts.toml"
-    file.write_text(FILE.replace(*changed))
-    code, _, said = command("plan", file, "--state", tmp_path / "state.json")
-    assert code == 1 and says in said and said.count("\n") == 1
+    file.write_text(FILE.replace(*replacement))
+    code, _, error = command("plan", file, "--state", tmp_path / "state.json")
+    assert code == 1 and message in error and error.count("\n") == 1
     assert not list(tmp_path.glob("*.plan"))
 
 
-NO_PLAN = '{"format":1,"base":0,"base_digest":"","target":{},"target_digest":""}'
+INVALID_PLAN = '{"format":1,"base":0,"base_digest":"","target":{},"target_digest":""}'
 
 
-@pytest.mark.parametrize("text", ["", "{}", NO_PLAN])
-def test_what_is_no_plan_is_refused(tmp_path: Path, text: str) -> None:
+@pytest.mark.parametrize("text", ["", "{}", INVALID_PLAN])
+def test_an_invalid_plan_is_rejected(tmp_path: Path, text: str) -> None:
     (tmp_path / "x.plan").write_text(text)
-    code, _, said = command("apply", tmp_path / "x.plan", "--state", tmp_path / "state.json")
-    assert code == 1 and said.count("\n") == 1 and not (tmp_path / "state.json").exists()
+    code, _, error = command("apply", tmp_path / "x.plan", "--state", tmp_path / "state.json")
+    assert code == 1 and error.count("\n") == 1 and not (tmp_path / "state.json").exists()
 
 
-def test_budgets_run_in_windows() -> None:
+def test_budgets_apply_to_time_windows() -> None:
     contract = Contract("t", "s", max_requests=2, max_bytes=100, window=1000)
-    use = ContractBudgets(Contracts((contract,)))
-    assert [use.admit_request(contract, now) for now in (10, 20, 30, 1009, 1010)] == [0, 0, 980, 1, 0]
-    use.charge_bytes(contract, 1011, 100)
-    assert use.admit_request(contract, 1012) == 998
+    budgets = ContractBudgets(Contracts((contract,)))
+    assert [budgets.admit_request(contract, now) for now in (10, 20, 30, 1009, 1010)] == [0, 0, 980, 1, 0]
+    budgets.charge_bytes(contract, 1011, 100)
+    assert budgets.admit_request(contract, 1012) == 998
 
 
-def test_the_contract_of_the_class_comes_before_the_general_one() -> None:
-    general, special = Contract("t", "s"), Contract("t", "s", "index")
-    contracts = Contracts((special, general))
-    assert contracts.find("t", "s", "index") is special and contracts.find("t", "s", "package") is general
+def test_the_contract_of_the_class_precedes_the_general_one() -> None:
+    general, specific = Contract("t", "s"), Contract("t", "s", "index")
+    contracts = Contracts((specific, general))
+    assert contracts.find("t", "s", "index") is specific and contracts.find("t", "s", "package") is general
     assert contracts.find("t", "other", "index") is None and contracts.find("u", "s", "index") is None
--- a/tests/run/test_descriptors.py
+++ b/tests/run/test_descriptors.py
@@ -1,4 +1,4 @@
-"""No descriptor left: nothing ends for good, and all comes back once there are some, on real sockets."""
+"""Out of descriptors: everything recovers once there are some again, on real sockets."""
 
 from __future__ import annotations
 
@@ -18,84 +18,86 @@
 
 
 @contextmanager
-def none_left(program: Program, again: bool = False) -> Iterator[None]:
-    """The process may open no descriptor; ``again``: but it may use again those that it closes."""
+def out_of_descriptors(program: Program, can_reuse: bool = False) -> Iterator[None]:
+    """The process can open no descriptor; ``can_reuse``: except in place of those that it closes."""
     pid = program.process.pid
-    usual = resource.prlimit(pid, resource.RLIMIT_NOFILE)
-    held = {int(x.name) for x in Path(f"/proc/{pid}/fd").iterdir()}
-    free = next(n for n in range(len(held) + 1) if n not in held)
-    resource.prlimit(pid, resource.RLIMIT_NOFILE, (free if again else 0, usual[1]))
+    original_limit = resource.prlimit(pid, resource.RLIMIT_NOFILE)
+    in_use = {int(x.name) for x in Path(f"/proc/{pid}/fd").iterdir()}
+    free = next(n for n in range(len(in_use) + 1) if n not in in_use)
+    resource.prlimit(pid, resource.RLIMIT_NOFILE, (free if can_reuse else 0, original_limit[1]))
     try:
         yield
     finally:
-        resource.prlimit(pid, resource.RLIMIT_NOFILE, usual)
+        resource.prlimit(pid, resource.RLIMIT_NOFILE, original_limit)
 
 
-def said(program: Program, word: str) -> int:
-    return sum(word in x for x in program.lines)
+def count_lines(program: Program, text: str) -> int:
+    return sum(text in x for x in program.lines)
 
 
-def test_the_poll_outlives_a_time_without_descriptors(platform: Platform) -> None:
-    """Its old connection breaks just then, so that it needs a new one."""
+def test_polling_survives_a_time_without_descriptors(platform: Platform) -> None:
+    """Its connection fails during that time, so that it needs a new one."""
     until(lambda: platform.log.polls)
-    with none_left(platform.program):
-        for made in platform.log._http.listener.connections:
-            made.shutdown(socket.SHUT_RDWR)
-        until(lambda: said(platform.program, "change log: OSError") >= 2)  # it goes on trying
-    platform.publish(invalidate={"object": f"{7:016x}", "time": 1})  # returns once the gateway holds it
-
-
-def test_the_listener_outlives_it_and_neither_spins_nor_turns_anybody_away(platform: Platform) -> None:
-    with none_left(platform.program):
-        client = Client(platform.program.port)  # the system takes it into the backlog
+    with out_of_descriptors(platform.program):
+        for connection in platform.log._http.listener.connections:
+            connection.shutdown(socket.SHUT_RDWR)
+        until(lambda: count_lines(platform.program, "change log: OSError") >= 2)  # it keeps trying
+    platform.publish(
+        invalidate={"object": f"{7:016x}", "time": 1}
+    )  # returns once the gateway has acknowledged it
+
+
+def test_the_listener_survives_it_without_spinning_or_rejecting_clients(platform: Platform) -> None:
+    with out_of_descriptors(platform.program):
+        client = Client(platform.program.port)  # stays in the backlog
         client.send_request(row=3)
-        until(lambda: said(platform.program, "listener:") >= 3)
-        assert said(platform.program, "listener:") < 200
+        until(lambda: count_lines(platform.program, "listener:") >= 3)
+        assert count_lines(platform.program, "listener:") < 200
     assert client.read_response()[0] == SERVED
-    assert not said(platform.program, "Error") and not said(platform.program, "Exception")
+    assert not count_lines(platform.program, "Error") and not count_lines(platform.program, "Exception")
 
 
 def test_an_idle_connection_gives_its_descriptor_to_a_new_one(platform: Platform) -> None:
     idle = platform.client()
     idle.send_request(row=1)
     assert idle.read_response()[0] == SERVED
-    with none_left(platform.program, again=True):
+    with out_of_descriptors(platform.program, can_reuse=True):
         client = Client(platform.program.port)
-        assert idle.read_frame() is None  # closed for it, with nothing open on it
+        assert idle.read_frame() is None  # closed for the new one, as it had no request in flight
         client.send_frame(frames.READINESS_REQUEST, 0)
         assert client.read_frame() is not None
 
 
-def test_an_idle_store_connection_gives_its_descriptor_to_one_that_is_asked(platform: Platform) -> None:
-    """Having none left is no fault of the store: it gets its requests all the same."""
+def test_an_idle_upstream_connection_gives_its_descriptor_to_another_endpoint(platform: Platform) -> None:
+    """Being out of descriptors is no failure of the endpoint: it still gets its requests."""
     client = platform.client()
     client.send_request(row=1)
     assert client.read_response()[0] == SERVED
-    asked = [len(c.requests) for c in platform.caches]
-    with none_left(platform.program, again=True):
+    counts = [len(c.requests) for c in platform.caches]
+    with out_of_descriptors(platform.program, can_reuse=True):
         for row in range(2, 18):
             client.send_request(row=row)
             assert client.read_response()[0] == SERVED
-    assert all(len(c.requests) > before for c, before in zip(platform.caches, asked, strict=True))
+    assert all(len(c.requests) > before for c, before in zip(platform.caches, counts, strict=True))
 
 
-def test_with_nothing_to_close_what_needs_a_descriptor_is_refused_and_no_store_blamed(
+def test_with_no_descriptor_to_free_requests_are_rejected_and_no_endpoint_is_ejected(
     platform: Platform,
 ) -> None:
     client = platform.client()
     client.send_frame(frames.READINESS_REQUEST, 0)
-    assert client.read_frame() is not None  # it has its descriptor
-    with none_left(platform.program):
+    assert client.read_frame() is not None  # the connection is accepted
+    with out_of_descriptors(platform.program):
         for row in range(1, 9):
             client.send_request(row=row)
         assert all(client.read_response()[0] == frames.REJECTED for _ in range(8))
-    assert not platform.requests and not said(platform.program, "ejected")
+    assert not platform.requests and not count_lines(platform.program, "ejected")
     for row in range(1, 9):
         client.send_request(row=row)
     assert all(client.read_response()[0] == SERVED for _ in range(8))
 
 
-def test_idle_clients_at_the_limit_while_the_log_is_down_leave_it_and_the_stores_their_connections(
+def test_idle_clients_at_the_limit_leave_descriptors_for_the_change_log_and_the_endpoints(
     tmp_path: Path,
 ) -> None:
     platform = Platform(tmp_path, limits={"memory_mb": 64, "sockets": 128}).start()
@@ -106,7 +108,7 @@
         for client in idle:
             with contextlib.suppress(OSError):
                 client.send_frame(frames.READINESS_REQUEST, 0)
-        until(lambda: said(platform.program, "change log: StreamClosedError") >= 3)
+        until(lambda: count_lines(platform.program, "change log: StreamClosedError") >= 3)
         client = platform.client()
         for row in range(1, 9):
             client.send_request(row=row)
@@ -118,8 +120,8 @@
         platform.program.process.send_signal(signal.SIGHUP)
         until(lambda: new.polls)
         assert len(list(Path(f"/proc/{platform.program.process.pid}/fd").iterdir())) < 128
-        for one in idle:
-            one.sock.close()
+        for connection in idle:
+            connection.sock.close()
         client.send_request(row=99)
         assert client.read_response()[0] == SERVED
     finally:
--- a/tests/run/test_team_fronts.py
+++ b/tests/run/test_team_fronts.py
@@ -1,4 +1,4 @@
-"""Teams on real sockets: both fronts, a small flood, and what operators see of it."""
+"""Teams on both fronts with real sockets: separation, overload by one team, and the usage report."""
 
 from __future__ import annotations
 
@@ -48,13 +48,13 @@
 @pytest.fixture
 def platform(tmp_path: Path) -> Iterator[Platform]:
     (tmp_path / "teams.toml").write_text(TEAMS)
-    made = Platform(tmp_path, args=("--teams", str(tmp_path / "teams.toml"))).start()
-    yield made
-    made.program.process.kill()
-    made.program.wait()
+    platform = Platform(tmp_path, args=("--teams", str(tmp_path / "teams.toml"))).start()
+    yield platform
+    platform.program.process.kill()
+    platform.program.wait()
 
 
-def test_the_platforms_front_tells_teams_apart_by_class_and_group(platform: Platform) -> None:
+def test_the_platforms_front_distinguishes_teams_by_class_and_group(platform: Platform) -> None:
     client = platform.client()
     codes = {"a": [], "b": []}  # type: ignore[var-annotated]
     for n in range(5):
@@ -66,7 +66,9 @@
     assert codes["a"] == [frames.SERVED] * 3 + [frames.REJECTED] * 2 and set(codes["b"]) == {frames.SERVED}
 
 
-def test_a_key_of_one_team_is_refused_to_another_on_the_platforms_front(platform: Platform) -> None:
+def test_an_idempotency_key_of_one_team_is_rejected_for_another_on_the_platforms_front(
+    platform: Platform,
+) -> None:
     client = platform.client()
     for group, code in ((200, frames.SERVED), (3, frames.REJECTED), (200, frames.SERVED)):
         client.send_request(
@@ -76,7 +78,7 @@
     assert len(platform.requests) == 2
 
 
-def test_the_teams_file_is_read_anew_whole_or_not_at_all(platform: Platform) -> None:
+def test_the_teams_file_is_reloaded_completely_or_not_at_all(platform: Platform) -> None:
     client, file = platform.client(), platform.path / "teams.toml"
     file.write_text(TEAMS.replace("groups = [0, 9]", "groups = [0, 900]"))
     platform.program.process.send_signal(signal.SIGHUP)
@@ -85,19 +87,19 @@
             "configuration not reloaded" in line and "groups" in line for line in platform.program.lines
         )
     )
-    of_b = 'team = "b"\nservice = "s"\n'
-    file.write_text(TEAMS.replace(of_b, of_b + "rate = 0.01\nburst = 1\n", 1))
+    contract_of_b = 'team = "b"\nservice = "s"\n'
+    file.write_text(TEAMS.replace(contract_of_b, contract_of_b + "rate = 0.01\nburst = 1\n", 1))
     platform.program.process.send_signal(signal.SIGHUP)
     until(lambda: any("configuration reloaded" in line for line in platform.program.lines))
-    said = []
+    codes = []
     for n in range(2):
         client.send_request(op="small", row=n, batch="200")
-        said.append(client.read_response()[0])
-    assert said == [frames.SERVED, frames.REJECTED]
+        codes.append(client.read_response()[0])
+    assert codes == [frames.SERVED, frames.REJECTED]
 
 
 @pytest.mark.parametrize(
-    ("changed", "says"),
+    ("replacement", "message"),
     [
         (
             ('team = "b"\nservice = "s"\n[[assign]]', 'team = "c"\nservice = "s"\n[[assign]]'),
@@ -113,23 +115,27 @@
         (("[teams.a]", '[organisations.o]\nrate = 0.001\n[teams.a]\norganisation = "o"'), "over 0.001"),
     ],
 )
-def test_a_bad_teams_file_is_one_plain_line(tmp_path: Path, changed: tuple[str, str], says: str) -> None:
-    assert changed[0] in TEAMS
-    (tmp_path / "teams.toml").write_text(TEAMS.replace(*changed, 1))
-    made = Platform(tmp_path)
-    made.args = ("--teams", str(tmp_path / "teams.toml"))
+def test_an_invalid_teams_file_is_reported_in_one_line(
+    tmp_path: Path, replacement: tuple[str, str], message: str
+) -> None:
+    assert replacement[0] in TEAMS
+    (tmp_path / "teams.toml").write_text(TEAMS.replace(*replacement, 1))
+    platform = Platform(tmp_path)
+    platform.args = ("--teams", str(tmp_path / "teams.toml"))
     config = tmp_path / "config.json"
     from tests.support.gateway import platform_settings
 
     config.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": platform_settings()}))
-    ran = subprocess.run(
-        [sys.executable, "-m", "hallproxy", *made.args], cwd=ROOT, capture_output=True, text=True,
+    result = subprocess.run(
+        [sys.executable, "-m", "hallproxy", *platform.args], cwd=ROOT, capture_output=True, text=True,
         env={"EDGE_CONFIG": str(config)}, timeout=30,
     )  # fmt: skip
-    assert ran.returncode == 1 and says in ran.stderr and ran.stderr.count("\n") == 1, ran.stderr
+    assert (
+        result.returncode == 1 and message in result.stderr and result.stderr.count("\n") == 1
+    ), result.stderr
 
 
-def test_the_operators_own_file_can_be_used() -> None:
+def test_the_deployed_teams_file_is_valid() -> None:
     from hallproxy.run.platform_teams import load
 
     loaded = load(ROOT / "deploy" / "teams.toml", ["firmware-parts", "small-files", "session-close"])
@@ -137,91 +143,94 @@
     assert loaded.owners[2][0] == ("receipts", "objects")
 
 
-def in_force(made: Front, text: str) -> None:
-    (made.path / "c.toml").write_text(text)
-    contracts.plan(made.path / "c.toml", made.path / "contracts.json", made.path / "c.plan")
-    contracts.apply(made.path / "c.plan", made.path / "contracts.json")
+def apply_contracts(front: Front, text: str) -> None:
+    (front.path / "c.toml").write_text(text)
+    contracts.plan(front.path / "c.toml", front.path / "contracts.json", front.path / "c.plan")
+    contracts.apply(front.path / "c.plan", front.path / "contracts.json")
 
 
-def file_of(**teams: str) -> str:
+def contracts_file(**teams: str) -> str:
+    """A contracts file; a team's value is the lines of its table, "|" and those of its contract."""
     lines = ['[services.all]\nprojects = ["*"]']
-    for name, more in teams.items():
-        team, _, contract = more.partition("|")
+    for name, options in teams.items():
+        team, _, contract = options.partition("|")
         lines.append(f'[teams.{name}]\ntoken_sha256 = "{hashlib.sha256(name.encode()).hexdigest()}"\n{team}')
         lines.append(f'[[contracts]]\nteam = "{name}"\nservice = "all"\n{contract}')
     return "\n".join(lines)
 
 
-def test_repeats_networks_and_use_on_the_second_front(front: Front, tmp_path: Path) -> None:
-    in_force(front, file_of(a="|retry_share = 0.5", b='networks = ["10.0.0.0/8"]', ops="operator = true"))
+def test_retries_networks_and_usage_on_the_repository_front(front: Front, tmp_path: Path) -> None:
+    apply_contracts(
+        front, contracts_file(a="|retry_share = 0.5", b='networks = ["10.0.0.0/8"]', ops="operator = true")
+    )
     front.start(contracts=True)
     path = f"/simple/{PROJECT}/"
     a = basic_auth("a", "a")
     codes = [front.get(path, Authorization=a).status for _ in range(2)]
-    again = [front.get(path, Authorization=a, Retry_Attempt="1") for _ in range(3)]
-    assert codes == [200, 200] and [g.status for g in again] == [200, 429, 429]
-    assert int(again[-1].fields["retry-after"]) >= 1
+    retries = [front.get(path, Authorization=a, Retry_Attempt="1") for _ in range(3)]
+    assert codes == [200, 200] and [response.status for response in retries] == [200, 429, 429]
+    assert int(retries[-1].fields["retry-after"]) >= 1
     assert front.get(path, Authorization=basic_auth("b", "b")).status == 403
     own = json.loads(front.get("/.use", Authorization=a).body)
     assert list(own) == ["teams"] and list(own["teams"]) == ["a"]
     counts = own["teams"]["a"]["counts"]
     assert counts["served"] == 3 and counts["refused: retry budget"] == 2 and counts["retries spent"] == 1
     assert front.get("/.use").status == 401
-    whole = json.loads(front.get("/.use", Authorization=basic_auth("ops", "ops")).body)
-    assert set(whole) == {"teams", "capacity", "places"} and "b" in whole["teams"]
+    full = json.loads(front.get("/.use", Authorization=basic_auth("ops", "ops")).body)
+    assert set(full) == {"teams", "capacity", "places"} and "b" in full["teams"]
     (tmp_path / "token").write_text("ops\n")
-    words = ["usage", "--at", f"127.0.0.1:{front.program.port}", "--team", "ops", "--token-file"]
-    ran = subprocess.run(
-        [sys.executable, "-m", "hallproxy", *words, str(tmp_path / "token")], cwd=ROOT, capture_output=True,
-        text=True,
+    arguments = ["usage", "--at", f"127.0.0.1:{front.program.port}", "--team", "ops", "--token-file"]
+    result = subprocess.run(
+        [sys.executable, "-m", "hallproxy", *arguments, str(tmp_path / "token")], cwd=ROOT,
+        capture_output=True, text=True,
     )  # fmt: skip
-    assert ran.returncode == 0 and "a: refused: retry budget 2" in ran.stdout, ran.stderr
+    assert result.returncode == 0 and "a: refused: retry budget 2" in result.stdout, result.stderr
     (tmp_path / "token").write_text("wrong\n")
-    ran = subprocess.run(
-        [sys.executable, "-m", "hallproxy", *words, str(tmp_path / "token")], cwd=ROOT, capture_output=True,
-        text=True,
+    result = subprocess.run(
+        [sys.executable, "-m", "hallproxy", *arguments, str(tmp_path / "token")], cwd=ROOT,
+        capture_output=True, text=True,
     )  # fmt: skip
-    assert ran.returncode == 1 and ran.stderr.count("\n") == 1 and "401" in ran.stderr
+    assert result.returncode == 1 and result.stderr.count("\n") == 1 and "401" in result.stderr
 
 
-def held(port: int, address: str, count: int) -> list[socket.socket]:
-    """Connections from that address that have asked once and stay."""
-    made = []
+def connections_from(port: int, address: str, count: int) -> list[socket.socket]:
+    """Connections from that address that have sent one request and stay open."""
+    connections = []
     for _ in range(count):
         sock = socket.create_connection(("127.0.0.1", port), 5, source_address=(address, 0))
         sock.sendall(b"GET /elsewhere HTTP/1.1\r\n\r\n")
-        made.append(sock)
-    return made
+        connections.append(sock)
+    return connections
 
 
-@pytest.mark.timing("a place is free again within 5 s")
-def test_a_network_that_holds_all_places_leaves_some_to_others(front: Front) -> None:
-    """Before, whoever came once 256 were open was closed without a word."""
+@pytest.mark.timing("a connection slot is free again within 5 s")
+def test_a_network_that_opens_too_many_connections_leaves_some_to_others(front: Front) -> None:
+    """Guards against closing any connection over 256 without a response."""
     front.start()
-    crowd = held(front.program.port, "127.0.2.1", 300)
-    answers = [sock.recv(65_536) for sock in crowd]
-    taken = [a for a in answers if a.startswith(b"HTTP/1.1 404")]
-    turned = [a for a in answers if a.startswith(b"HTTP/1.1 503") and b"Retry-After" in a]
-    assert len(taken) == 224 and len(turned) == 76
+    connections = connections_from(front.program.port, "127.0.2.1", 300)
+    responses = [sock.recv(65_536) for sock in connections]
+    accepted = [r for r in responses if r.startswith(b"HTTP/1.1 404")]
+    rejected = [r for r in responses if r.startswith(b"HTTP/1.1 503") and b"Retry-After" in r]
+    assert len(accepted) == 224 and len(rejected) == 76
     for n in range(4):
-        made = http.client.HTTPConnection(
+        other = http.client.HTTPConnection(
             "127.0.0.1", front.program.port, 5, source_address=(f"127.0.3.{n + 1}", 0)
         )
-        made.request("GET", "/simple/", headers={"Accept": simple.JSON})
-        assert made.getresponse().status == 200
-        made.close()
-    for sock in crowd:
+        other.request("GET", "/simple/", headers={"Accept": simple.JSON})
+        assert other.getresponse().status == 200
+        other.close()
+    for sock in connections:
         sock.close()
-    began = time.monotonic()
+    began_at = time.monotonic()
     until(lambda: front.get("/simple/", Accept=simple.JSON).status == 200)
-    assert time.monotonic() - began < 5
+    assert time.monotonic() - began_at < 5
 
 
 @pytest.mark.timing("compares rates of requests served in time")
-def test_one_team_floods_and_the_other_keeps_its_service(tmp_path: Path) -> None:
-    """Two stand-in teams on loopback in the small; margins are wide, as the machine may be busy."""
+def test_overload_by_one_team_leaves_the_service_of_the_other(tmp_path: Path) -> None:
+    """Two stand-in teams on loopback at a small scale; margins are wide, as the machine may be busy."""
     day = lab.Day("small", quiet=20, flood=200, servers=4, took_ms=40)
-    calm = lab.play(day, {"quiet": 20.0, "flood": 20.0}, 4, 7)["teams"]["quiet"]
-    rush = lab.play(day, {"quiet": 20.0, "flood": 200.0}, 4, 7)["teams"]
-    assert rush["quiet"].in_time >= 0.85 * calm.in_time and calm.in_time > 0.8
-    assert rush["flood"].refused > 0.2 and rush["flood"].in_time_per_s > 20
+    baseline = lab.play(day, {"quiet": 20.0, "flood": 20.0}, 4, 7)["teams"]["quiet"]
+    overload = lab.play(day, {"quiet": 20.0, "flood": 200.0}, 4, 7)["teams"]
+    assert overload["quiet"].in_time >= 0.85 * baseline.in_time and baseline.in_time > 0.8
+    assert overload["flood"].refused > 0.2 and overload["flood"].in_time_per_s > 20
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line: the module and the console script are one, and only the chosen role is imported."""
+"""The command line: the module and the console script are the same, and only the chosen role is imported."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 def console_script() -> str:
-    """The program that an installation creates for the console script's entry point."""
+    """The script that an installation generates for the entry point."""
     scripts = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["scripts"]
     module, _, function = scripts["hallproxy"].partition(":")
     return f"import sys\nfrom {module} import {function}\nsys.exit({function}())\n"
 
 
 @pytest.mark.parametrize(
-    ("words", "status"),
+    ("arguments", "status"),
     [
         ([], 1),
         (["plan", "missing.toml"], 1),
@@ -36,19 +36,19 @@
     ],
 )
 def test_module_and_console_script_give_the_same_output_and_exit_code(
-    tmp_path: Path, words: list[str], status: int
+    tmp_path: Path, arguments: list[str], status: int
 ) -> None:
     environment = {"PYTHONPATH": str(ROOT), "COLUMNS": "100"}
     results = [
         subprocess.run(
-            [sys.executable, *start, *words],
+            [sys.executable, *program, *arguments],
             cwd=tmp_path,
             env=environment,
             capture_output=True,
             text=True,
             timeout=30,
         )
-        for start in (["-m", "hallproxy"], ["-c", console_script()])
+        for program in (["-m", "hallproxy"], ["-c", console_script()])
     ]
     module, script = results
     assert module.returncode == status, module.stderr
@@ -60,7 +60,7 @@
     )
 
 
-def test_the_module_runs_the_console_scripts_function() -> None:
+def test_the_module_has_the_function_of_the_console_script() -> None:
     scripts = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["scripts"]
     module, _, function = scripts["hallproxy"].partition(":")
     script = getattr(importlib.import_module(module), function)
@@ -68,8 +68,8 @@
 
 
 def test_run_imports_no_role_that_is_built_on_it() -> None:
-    """Nowhere in `run`, be it within a function or for type checking alone."""
-    above = tuple(f"hallproxy.{name}" for name in ("relay", "repository", "files", "lab", "commands"))
+    """Neither at module level, nor in a function, nor for type checking only."""
+    roles = tuple(f"hallproxy.{name}" for name in ("relay", "repository", "files", "lab", "commands"))
     imported: dict[str, set[str]] = {}
     for path in (ROOT / "hallproxy" / "run").glob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -79,4 +79,4 @@
                 names = {f"{node.module}.{alias.name}" for alias in node.names}
                 imported.setdefault(path.name, set()).update(names)
     assert "hallproxy.run.upstream_connections.UpstreamConnections" in imported["gateway.py"]
-    assert not [(file, name) for file, names in imported.items() for name in names if name.startswith(above)]
+    assert not [(file, name) for file, names in imported.items() for name in names if name.startswith(roles)]
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports have no circles and go down the layers only; test modules don't import one another."""
+"""Imports have no cycles and only go to lower layers; test modules don't import one another."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
     ("__main__",),
     ("lab",),
 )
-"""From the bottom up. A module imports from its own package and from layers below; neighbours don't meet."""
+"""From the lowest up. A module imports from its own package and lower layers, not from its layer's others."""
 
-# The lists below only ever shrink: take off what a change has removed, and add nothing.
+# The lists below may only shrink: remove entries that a change has fixed, and add none.
 KNOWN_UPWARD: set[tuple[str, str]] = set()
-KNOWN_CIRCLES: set[frozenset[str]] = set()
+KNOWN_CYCLES: set[frozenset[str]] = set()
 KNOWN_TEST_IMPORTS: set[tuple[str, str]] = set()
 
 
@@ -47,16 +47,16 @@
 
 
 def assert_exactly(found: set[T], known: set[T]) -> None:
-    new, gone = found - known, known - found
+    new, fixed = found - known, known - found
     assert not new, f"new: {new}"
-    assert not gone, f"gone, to be taken off the list: {gone}"
+    assert not fixed, f"fixed, to be removed from the list: {fixed}"
 
 
 def is_test_module(module: str) -> bool:
     return module.rpartition(".")[2].startswith("test_")
 
 
-def test_imports_go_down_only() -> None:
+def test_imports_only_go_to_lower_layers() -> None:
     graph = import_graph(ROOT, "hallproxy")
     upward = {
         (importer, imported)
@@ -67,8 +67,8 @@
     assert_exactly(upward, KNOWN_UPWARD)
 
 
-def test_no_circle_between_modules() -> None:
-    assert_exactly(cycles(import_graph(ROOT, "hallproxy")), KNOWN_CIRCLES)
+def test_modules_have_no_import_cycle() -> None:
+    assert_exactly(cycles(import_graph(ROOT, "hallproxy")), KNOWN_CYCLES)
 
 
 def test_no_test_module_is_imported() -> None:
@@ -101,7 +101,7 @@
     assert cycles(graph) == {frozenset({"top.low", "top.high"})}
 
 
-def test_a_chain_is_no_circle_and_two_circles_are_told_apart() -> None:
+def test_a_chain_is_no_cycle_and_two_cycles_are_distinguished() -> None:
     chain = {"a": {"b"}, "b": {"c"}, "c": set[str]()}
     assert cycles(chain) == set()
     assert cycles(chain | {"c": {"b"}, "d": {"e"}, "e": {"d", "a"}}) == {
@@ -122,5 +122,7 @@
         ("hallproxy.interface", "hallproxy.decisions", False),
     ],
 )
-def test_down_is_a_lower_layer_or_the_same_package(importer: str, imported: str, down: bool) -> None:
+def test_an_import_may_go_to_a_lower_layer_or_the_same_package(
+    importer: str, imported: str, down: bool
+) -> None:
     assert goes_down(importer, imported) is down
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What a run makes of KNOWN-RED.txt, in one process and in several, each case in a project of its own."""
+"""Runs with a KNOWN-RED.txt, in one process and in several, each case in its own project."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from tests.support.known_red import KnownRed
 def pytest_configure(config):
     config.addinivalue_line("markers", "timing: measures time")
-    whole_suite = not hasattr(config, "workerinput")  # as the controller of several processes tells
+    whole_suite = not hasattr(config, "workerinput")  # only workers have this attribute
     config.pluginmanager.register(KnownRed(Path(__file__).with_name("KNOWN-RED.txt"), whole_suite))
 """
 PROCESSES = {"one_process": (), "two_workers": ("-n", "2", "--dist", "loadfile")}
@@ -41,8 +41,8 @@
     if known is not None:
         (tmp_path / "KNOWN-RED.txt").write_text(known)
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "--rootdir", ".", *args]
-    ran = subprocess.run(command, cwd=tmp_path, capture_output=True, text=True, timeout=60)
-    return ran.returncode, ran.stdout + ran.stderr
+    result = subprocess.run(command, cwd=tmp_path, capture_output=True, text=True, timeout=60)
+    return result.returncode, result.stdout + result.stderr
 
 
 RED = "test_it.py::test_red | pytest, seed 7 | a late answer | 23\n"
@@ -68,7 +68,7 @@
         (RED + OTHER + MISSING, False, "there is no such test"),
     ],
 )
-def test_exactly_the_listed_tests_are_passed_over(
+def test_exactly_the_listed_tests_may_fail(
     tmp_path: Path, known: str | None, passes: bool, printed: str, processes: str
 ) -> None:
     code, output = run(tmp_path, known, *PROCESSES[processes])
@@ -89,7 +89,7 @@
         (RED + RED, "names a test twice"),
     ],
 )
-def test_a_file_that_cannot_be_used_fails_the_run(tmp_path: Path, known: str, printed: str) -> None:
+def test_an_invalid_file_fails_the_run(tmp_path: Path, known: str, printed: str) -> None:
     code, output = run(tmp_path, known)
     assert code != 0 and printed in output and "passed" not in output, output
 
@@ -125,16 +125,16 @@
         ),
     ],
 )
-def test_each_part_of_a_run_judges_its_own_tests_and_knows_the_others(
+def test_each_part_of_a_run_checks_its_own_tests_and_accepts_entries_of_the_others(
     tmp_path: Path, known: str, passes: dict[str, bool], printed: dict[str, tuple[str, ...]], processes: str
 ) -> None:
     for part, selection in PARTS.items():
         code, output = run(tmp_path, known, *selection, *PROCESSES[processes])
-        assert (code == 0) is passes[part] and all(words in output for words in printed[part]), output
+        assert (code == 0) is passes[part] and all(text in output for text in printed[part]), output
         assert "known red: test_it.py::test_red: a late answer" in output
 
 
-def test_an_entry_is_a_test_its_command_what_was_seen_and_its_issue() -> None:
+def test_an_entry_is_a_test_its_command_its_failure_and_its_issue() -> None:
     assert parse_known_failures("\n" + RED + OTHER) == [
         KnownFailure("test_it.py::test_red", "pytest, seed 7", "a late answer", 23),
         KnownFailure("test_it.py::test_other_red", "pytest", "a lost answer", 9),
