--- a/hallproxy/run/contracts.py
+++ b/hallproxy/run/contracts.py
@@ -22,16 +22,17 @@
 from hallproxy.broker.token_bucket import Rate
 from hallproxy.run.config import read_toml
 
-FORMAT = 1
-MS = 1_000_000
-SECOND = 1_000_000_000
+FORMAT = 1  # version of the plan and state files
+MS = 1_000_000  # ns
+SECOND = 1_000_000_000  # ns
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
-_CONTRACT = {"team": str, "service": str, "class": str, "deadline_ms": int, "requests": int, "bytes": int,
-             "window_s": int, "rate": float, "burst": float, "byte_rate": float, "byte_burst": float,
-             "concurrency": int, "retry_share": float, "retry_floor": float, "weight": float}  # fmt: skip
-_TEAM = {"token_sha256": str, "weight": float, "organisation": str, "networks": list, "operator": bool}
-_ORGANISATION = {"weight": float, "rate": float, "burst": float, "byte_rate": float, "byte_burst": float,
-                 "concurrency": int, "lends": bool}  # fmt: skip
+_CONTRACT_TYPES = {"team": str, "service": str, "class": str, "deadline_ms": int, "requests": int,
+                   "bytes": int, "window_s": int, "rate": float, "burst": float, "byte_rate": float,
+                   "byte_burst": float, "concurrency": int, "retry_share": float, "retry_floor": float,
+                   "weight": float}  # fmt: skip
+_TEAM_TYPES = {"token_sha256": str, "weight": float, "organisation": str, "networks": list, "operator": bool}
+_ORGANISATION_TYPES = {"weight": float, "rate": float, "burst": float, "byte_rate": float,
+                       "byte_burst": float, "concurrency": int, "lends": bool}  # fmt: skip
 _WEIGHT_RANGE = 0.001, 1000.0
 Document = dict[str, Any]
 
@@ -56,35 +57,35 @@
         return ""
 
 
-def empty() -> Document:
+def empty_document() -> Document:
     """The document of the state before the first ``apply``."""
     return {"teams": {}, "services": {}, "contracts": {}}
 
 
-KINDS = (("organisations", "organisation"), ("teams", "team"), ("services", "service"),
-         ("contracts", "contract"))  # fmt: skip
+SECTIONS = (("organisations", "organisation"), ("teams", "team"), ("services", "service"),
+            ("contracts", "contract"))  # fmt: skip
 
 
-def read_file(path: Path) -> Document:
+def read_contracts(path: Path) -> Document:
     """Read, check and normalize a contracts file."""
     top = read_toml(path, ContractError)
     try:
-        return check(top)
+        return check_document(top)
     except ContractError as error:
         raise ContractError(f"{path}: {error}") from None
 
 
-def check(top: Document) -> Document:
+def check_document(top: Document) -> Document:
     """Check the document and normalize it to the form that plans compare; ContractError where invalid."""
-    _check_keys(top, tuple(key for key, _ in KINDS), "the file")
-    document = empty()
+    _check_keys(top, tuple(key for key, _ in SECTIONS), "the file")
+    document = empty_document()
     for name, organisation in _tables(top, "organisations"):
-        _check_values(organisation, _ORGANISATION, f"organisation {name}")
+        _check_values(organisation, _ORGANISATION_TYPES, f"organisation {name}")
         # Added only where there is one, so that a file without organisations keeps its form and digest.
         document.setdefault("organisations", {})[name] = organisation
     for name, team in _tables(top, "teams"):
         where = f"team {name}"
-        _check_values(team, _TEAM, where)
+        _check_values(team, _TEAM_TYPES, where)
         token = team.get("token_sha256", "")
         if not isinstance(token, str) or not re.fullmatch(r"[0-9a-f]{64}", token):
             raise ContractError(f"team {name}: token_sha256 is not 64 hex digits")
@@ -107,7 +108,7 @@
         raise ContractError("contracts is not a list of tables")
     for number, contract in enumerate(contracts, 1):
         where = f"contract {number}"
-        _check_values(contract, _CONTRACT, where)
+        _check_values(contract, _CONTRACT_TYPES, where)
         for key, section in (("team", "teams"), ("service", "services")):
             if contract.get(key) not in document[section]:
                 raise ContractError(f"{where}: {key} {contract.get(key)!r} is not among the {section}")
@@ -182,7 +183,7 @@
             raise ContractError(f"{path}: not written by apply, or modified since")
         return int(top["serial"]), top["document"]
     except FileNotFoundError:
-        return 0, empty()
+        return 0, empty_document()
     except OSError as error:
         raise ContractError(f"{path} can't be read: {error.strerror}") from None
     except ContractError:
@@ -237,7 +238,7 @@
 def difference(old: Document, new: Document) -> list[str]:
     """One line for each addition (+), removal (-) or changed key (~)."""
     lines: list[str] = []
-    for section, kind in KINDS:
+    for section, kind in SECTIONS:
         old_section, new_section = old.get(section, {}), new.get(section, {})
         for name in sorted({*old_section, *new_section}):
             before, after = old_section.get(name), new_section.get(name)
@@ -254,7 +255,7 @@
 
 def plan(source: Path, applied: Path, out: Path) -> list[str]:
     """Save a plan that applies the file; returns the lines of the difference."""
-    target = read_file(source)
+    target = read_contracts(source)
     serial, document = read_applied(applied)
     changes = difference(document, target)
     saved = {"format": FORMAT, "base": serial, "base_digest": _digest(document), "target": target,
--- a/hallproxy/run/platform_teams.py
+++ b/hallproxy/run/platform_teams.py
@@ -13,7 +13,7 @@
 
 from hallproxy.broker.contracts import Contracts
 from hallproxy.run.config import ConfigError, read_toml
-from hallproxy.run.contracts import ContractError, applied_contracts, check
+from hallproxy.run.contracts import ContractError, applied_contracts, check_document
 from hallproxy.state.events import ClientRequest
 
 GROUPS = 256
@@ -43,7 +43,7 @@
             team.setdefault("token_sha256", NO_TOKEN)
         for service in top.get("services", {}).values():
             service.setdefault("projects", ["*"])
-        applied = applied_contracts(check(top))
+        applied = applied_contracts(check_document(top))
         return PlatformTeams(applied.contracts, _owners(assignments, applied.contracts, classes))
     except (ContractError, ConfigError) as error:
         raise ConfigError(f"{path}: {error}") from None
--- a/hallproxy/run/shutdown.py
+++ b/hallproxy/run/shutdown.py
@@ -10,7 +10,7 @@
 from hallproxy.run.log import log_line
 from hallproxy.state.events import ShutdownStarted
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # ns
 POLL_INTERVAL = 0.02  # s
 # Times after SIGTERM:
 ACCEPT_PERIOD = 0.8  # s in which new connections and requests are still accepted
--- a/hallproxy/wire/changelog.py
+++ b/hallproxy/wire/changelog.py
@@ -10,8 +10,8 @@
 from hallproxy import interface as i
 from hallproxy.state.events import EndpointListUpdated, PurgeNotified
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+MS = 1_000_000  # ns
+SECOND = 1_000_000_000  # ns
 MAX_WAIT_MS = 5_000  # for which a poll may be held
 GROUP_COUNT = 256  # groups of objects that are purged together
 
--- a/hallproxy/wire/frames.py
+++ b/hallproxy/wire/frames.py
@@ -22,7 +22,7 @@
 MAX_PART = 65_535  # part number of an object
 MAX_TTL_DEADLINES = 4  # a request's longest ttl, in deadlines of its class
 RESPONSE_CODES = {ResponseKind.SERVED: SERVED, ResponseKind.REJECTED: REJECTED, ResponseKind.FAILED: FAILED}
-MS = 1_000_000
+MS = 1_000_000  # ns
 _HEX = re.compile(r"[0-9a-fA-F]+")
 _TOKEN = re.compile(r"[0-9A-Za-z._~:+/=-]{1,128}")
 # ns of a client's ttl, which counts from the sending of the request, for the network both ways
@@ -72,19 +72,19 @@
     """The fields at the start of a payload, and what follows them."""
     try:
         fields: dict[str, str] = {}
-        at = 1
+        offset = 1
         for _ in range(payload[0]):
-            start = at + 1
-            at = start + payload[at]
-            name = str(payload[start:at], "utf-8")
-            start = at + 2
-            at = start + (payload[at] << 8 | payload[at + 1])
-            fields[name] = str(payload[start:at], "utf-8")
-        if at > len(payload):  # a slice past the end raises nothing
+            start = offset + 1
+            offset = start + payload[offset]
+            name = str(payload[start:offset], "utf-8")
+            start = offset + 2
+            offset = start + (payload[offset] << 8 | payload[offset + 1])
+            fields[name] = str(payload[start:offset], "utf-8")
+        if offset > len(payload):  # a slice past the end raises nothing
             raise IndexError
     except (IndexError, UnicodeDecodeError):
         raise FieldError("fields are truncated or not UTF-8") from None
-    return fields, payload[at:]
+    return fields, payload[offset:]
 
 
 def encode_fields(fields: Mapping[str, str]) -> bytes:
@@ -96,14 +96,14 @@
     return b"".join(parts)
 
 
-def _hex(text: str, digits: int, name: str) -> int:
+def _decode_hex(text: str, digits: int, name: str) -> int:
     # int() alone would also accept signs, blanks and underscores
     if len(text) != digits or _HEX.fullmatch(text) is None:
         raise FieldError(f"{name} is not {digits} hex digits")
     return int(text, 16)
 
 
-def _number(fields: Mapping[str, str], name: str, minimum: int, maximum: int) -> int:
+def _decode_number(fields: Mapping[str, str], name: str, minimum: int, maximum: int) -> int:
     text = fields.get(name, "")
     if not (text.isascii() and text.isdigit() and len(text) < 12 and minimum <= int(text) <= maximum):
         raise FieldError(f"{name} is not a number from {minimum} to {maximum}")
@@ -120,8 +120,8 @@
     if class_index is None:
         raise FieldError("op is not the name of a class")
     request_id, name = fields.get("call", ""), fields.get("row", "")
-    _hex(request_id, 16, "call")
-    size_kb = _size_kb(fields)
+    _decode_hex(request_id, 16, "call")
+    size_kb = _decode_size_kb(fields)
     if len(body) > MAX_BODY_BYTES:
         raise FieldError(f"body exceeds {MAX_BODY_BYTES} bytes")
     key = fields.get("dedupe", "")
@@ -131,15 +131,15 @@
     request_class = settings.classes[class_index]
     if request_class.idempotency is i.Idempotency.IDEMPOTENCY_KEY and not key:
         raise FieldError("dedupe is missing, and this class can't be retried without it")
-    ttl = _number(fields, "ttl", 1, MAX_TTL_DEADLINES * request_class.deadline // MS)
+    ttl = _decode_number(fields, "ttl", 1, MAX_TTL_DEADLINES * request_class.deadline // MS)
     return ClientRequest(
         request_id=request_id,
         class_index=class_index,
         time_left=max(0, ttl * MS - TRANSIT_ALLOWANCE),
-        object=_hex(name, 16, "row"),
+        object=_decode_hex(name, 16, "row"),
         name=name,
-        part=_number(fields, "nth", 0, MAX_PART),
-        group=_number(fields, "batch", 0, 255),
+        part=_decode_number(fields, "nth", 0, MAX_PART),
+        group=_decode_number(fields, "batch", 0, 255),
         size_kb=size_kb,
         is_retry=fields.get("rep") == "1",
         is_write=request_class.is_write,
@@ -149,7 +149,7 @@
     )
 
 
-def _size_kb(fields: Mapping[str, str]) -> float:
+def _decode_size_kb(fields: Mapping[str, str]) -> float:
     try:
         size_kb = float(fields.get("heap", "0"))
     except ValueError:
--- a/hallproxy/wire/http1.py
+++ b/hallproxy/wire/http1.py
@@ -58,18 +58,20 @@
 
 def decode_response_head(buffer: bytearray, filled: int) -> Head | None:
     """The response head that the buffer's first ``filled`` bytes begin with; None while it is incomplete."""
-    end = _end(buffer, filled)
+    end = _find_head_end(buffer, filled)
     if end is None:
         return None
     start = _STATUS.match(buffer, 0, end)
     if start is None:
         raise HttpError("status line of an HTTP/1.x response is missing or malformed")
-    return Head(end, _fields(buffer, start.end(), end), status=int(start[2]), minor_version=int(start[1]))
+    return Head(
+        end, _decode_headers(buffer, start.end(), end), status=int(start[2]), minor_version=int(start[1])
+    )
 
 
 def decode_request_head(buffer: bytearray, filled: int) -> Head | None:
     """The request head that the buffer's first ``filled`` bytes begin with; None while it is incomplete."""
-    end = _end(buffer, filled)
+    end = _find_head_end(buffer, filled)
     if end is None:
         return None
     start = _REQUEST.match(buffer, 0, end)
@@ -77,26 +79,26 @@
         raise HttpError("request line is malformed")
     return Head(
         end,
-        _fields(buffer, start.end(), end),
+        _decode_headers(buffer, start.end(), end),
         method=start[1].decode(),
         target=start[2].decode(),
         minor_version=int(start[3]),
     )
 
 
-def _end(buffer: bytearray, filled: int) -> int | None:
-    at = buffer.find(b"\r\n\r\n", 0, filled)
-    if at < 0:
+def _find_head_end(buffer: bytearray, filled: int) -> int | None:
+    offset = buffer.find(b"\r\n\r\n", 0, filled)
+    if offset < 0:
         if filled >= MAX_HEAD_BYTES:
             raise HttpError(f"head exceeds {MAX_HEAD_BYTES} bytes")
         return None
-    return at + 4
+    return offset + 4
 
 
-def _fields(buffer: bytearray, at: int, end: int) -> dict[str, str]:
+def _decode_headers(buffer: bytearray, offset: int, end: int) -> dict[str, str]:
     fields: dict[str, str] = {}
-    while at < end - 2:
-        field = _FIELD.match(buffer, at, end)
+    while offset < end - 2:
+        field = _FIELD.match(buffer, offset, end)
         if field is None:
             raise HttpError("header line is malformed")
         name, value = field[1].decode().lower(), field[2].decode("latin-1")
@@ -106,7 +108,7 @@
                 raise HttpError(f"repeated header {name}")
             value = f"{fields[name]}, {value}"
         fields[name] = value
-        at = field.end()
+        offset = field.end()
     if "content-length" in fields and "transfer-encoding" in fields:
         raise HttpError("both Content-Length and Transfer-Encoding are present")
     return fields
--- a/hallproxy/wire/stores.py
+++ b/hallproxy/wire/stores.py
@@ -7,8 +7,8 @@
 from hallproxy.state.events import AttemptResult
 from hallproxy.wire.http1 import Head, HttpError
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+MS = 1_000_000  # ns
+SECOND = 1_000_000_000  # ns
 STALL_SHARE = 0.25  # stall timeout as a fraction of the shortest latency objective, ...
 MIN_STALL_S = 0.03  # ...but at least this
 MAX_BODY_BYTES = 300_000  # of an object's part; a longer response is not read
