--- a/hallproxy/commands.py
+++ b/hallproxy/commands.py
@@ -35,7 +35,7 @@
     repository.add_argument("file", type=Path, nargs="?", default=Path("deploy/repository.toml"))
     relay = commands.add_parser("relay", help="relay the change log to many followers, configured by a file")
     relay.add_argument("file", type=Path)
-    relay_status = commands.add_parser("relay-status", help="show the progress of relays and their followers")
+    relay_status = commands.add_parser("relay-status", help="show relays and their followers as a tree")
     relay_status.add_argument("addresses", metavar="ADDRESS", nargs="+", help="HOST:PORT of a relay")
     relay_status.add_argument("--json", action="store_true")
     usage = commands.add_parser("usage", help="show the usage of teams at a running front")
@@ -98,7 +98,7 @@
     out = args.out or args.file.with_name(args.file.name + ".plan")
     changes = contracts.plan(args.file, args.state, out)
     print("\n".join(changes) or "nothing to change")
-    print(f"plan saved to {out}")
+    print(f"saved as {out}")
     return 0
 
 
--- a/hallproxy/run/downstream_connection.py
+++ b/hallproxy/run/downstream_connection.py
@@ -123,7 +123,7 @@
                 dropped += buffer.filled
                 buffer.discard(buffer.filled)
                 if dropped > MAX_LINGER_BYTES and not self.write_closed:
-                    # Throttles a client that sends on after an error, while responses are still to be sent.
+                    # Throttles a client that keeps sending after an error, while responses are still unsent.
                     await asyncio.sleep(UNSENT_POLL_INTERVAL)
 
     def _abandon_requests(self) -> None:
--- a/hallproxy/run/upstream_connections.py
+++ b/hallproxy/run/upstream_connections.py
@@ -133,7 +133,7 @@
         if self.downloads is not None:
             request = self.downloads.with_range(request, connection.host)
         if connection.stream.is_stale():
-            # Closed, reset or sent to while it was idle: the request is unsent, and can use another one.
+            # Closed, reset or sent to while it was idle: the unsent request can use another connection.
             self._close_unused(number)
             return
         connection.request = request
@@ -171,7 +171,7 @@
                 if not await self._receive_response(connection):
                     return
         except TimeoutError:
-            # Without this a response that stalls would use up its request's time.
+            # Without the timeout a stalled response would use up its request's time.
             log_line(f"store {host}: response stalled, connection closed")
         except (StreamClosedError, OSError, ConfigError):
             pass
@@ -193,7 +193,7 @@
             raise
 
     def _log_rejection(self, host: str, status: int) -> None:
-        """Log the begin and the end of rejections of the credentials, not each of them."""
+        """Log the first rejection of the credentials, and their acceptance again, not each rejection."""
         rejection = status if status in CREDENTIAL_REJECTIONS else 0
         if self._rejections.get(host, 0) == rejection:
             return
