--- a/hallproxy/run/downstream_connection.py
+++ b/hallproxy/run/downstream_connection.py
@@ -198,13 +198,13 @@
             code = frames.SERVED if not self._owner.stopping else frames.REJECTED
             self._write(frames.encode_frame(frames.READINESS_RESPONSE, frame.stream, bytes((code, 0))))
         else:
-            raise frames.FrameError(f"unknown frame kind {frame.kind}")
+            raise frames.FrameError(f"a frame of type {frame.kind}")
 
     def _queue_request(self, frame: frames.Frame) -> None:
         stream_id = frame.stream
         self._owner.last_activity_at = self._clock()
         if not stream_id or stream_id in self.in_flight or stream_id in self.queued:
-            raise frames.FrameError(f"stream {stream_id} is 0 or already in use")
+            raise frames.FrameError(f"stream {stream_id} is not new")
         if len(self.in_flight) + len(self.queued) >= MAX_IN_FLIGHT:
             # A rejection fails this request only; closing the connection would fail all in flight.
             self._reject_request(frames.encode_response(stream_id, BUSY))
@@ -253,7 +253,7 @@
         self._write(pieces)
         self._invalid_requests += 1
         if self._invalid_requests >= MAX_INVALID_REQUESTS:
-            raise frames.FrameError("too many invalid requests on this connection")
+            raise frames.FrameError("too many requests that can't be used")
 
     def _fail(self, text: str) -> None:
         """Send the error, accept no more requests, and end after the last response."""
@@ -266,7 +266,7 @@
         self._frame_timer = None
         if timeout is not None:
             event_loop = asyncio.get_running_loop()
-            self._frame_timer = event_loop.call_later(timeout, self._fail, "frame not complete in time")
+            self._frame_timer = event_loop.call_later(timeout, self._fail, "no whole frame in time")
 
     def _respond(self, stream_id: int, response: Response) -> None:
         self.in_flight.pop(stream_id, None)
--- a/hallproxy/run/response_reader.py
+++ b/hallproxy/run/response_reader.py
@@ -45,7 +45,7 @@
     stream: Stream, buffer: Buffer, length: int, max_bytes: int, stall_timeout: float | None
 ) -> bytes:
     if length > max_bytes:
-        raise HttpError(f"Content-Length {length} exceeds {max_bytes}")
+        raise HttpError(f"Content-Length {length} exceeds the limit")
     body = bytearray(length)
     received = min(length, buffer.filled)
     body[:received] = memoryview(buffer.data)[:received]
@@ -66,18 +66,18 @@
         if await _read_line(stream, buffer, stall_timeout):
             raise HttpError("chunk is longer than its size")
         if framing > MAX_FRAMING_BYTES:
-            raise HttpError(f"chunk sizes exceed {MAX_FRAMING_BYTES} bytes")
+            raise HttpError("chunk sizes exceed the limit of framing bytes")
     while line := await _read_line(stream, buffer, stall_timeout):  # trailers
         framing += len(line)
         if framing > MAX_FRAMING_BYTES:
-            raise HttpError(f"chunk sizes and trailers exceed {MAX_FRAMING_BYTES} bytes")
+            raise HttpError("chunk sizes and trailers exceed the limit of framing bytes")
     return bytes(body)
 
 
 async def _read_line(stream: Stream, buffer: Buffer, stall_timeout: float | None) -> bytes:
     while (end := buffer.data.find(b"\r\n", 0, buffer.filled)) < 0:
         if buffer.filled > MAX_LINE_BYTES:
-            raise HttpError(f"line of a chunk size or trailer exceeds {MAX_LINE_BYTES} bytes")
+            raise HttpError("line of a chunk size or trailer is too long")
         await buffer.fill(stream, READ_BYTES, stall_timeout)
     line = bytes(buffer.data[:end])
     buffer.discard(end + 2)
--- a/hallproxy/wire/frames.py
+++ b/hallproxy/wire/frames.py
@@ -52,7 +52,7 @@
         return None
     (length,) = SIZE.unpack_from(buffer)
     if not MIN_FRAME_BYTES <= length <= MAX_REQUEST_FRAME_BYTES:
-        raise FrameError(f"frame length {length} is not from {MIN_FRAME_BYTES} to {MAX_REQUEST_FRAME_BYTES}")
+        raise FrameError(f"a frame of {length} bytes")
     end = SIZE.size + length
     if len(buffer) < end:
         return None
@@ -83,7 +83,7 @@
         if offset > len(payload):  # a slice past the end raises nothing
             raise IndexError
     except (IndexError, UnicodeDecodeError):
-        raise FieldError("fields are truncated or not UTF-8") from None
+        raise FieldError("fields that can't be read") from None
     return fields, payload[offset:]
 
 
@@ -118,19 +118,19 @@
     fields, body = decode_fields(payload)
     class_index = classes.get(fields.get("op", ""))
     if class_index is None:
-        raise FieldError("op is not the name of a class")
+        raise FieldError("op names no class")
     request_id, name = fields.get("call", ""), fields.get("row", "")
     _decode_hex(request_id, 16, "call")
     size_kb = _decode_size_kb(fields)
     if len(body) > MAX_BODY_BYTES:
-        raise FieldError(f"body exceeds {MAX_BODY_BYTES} bytes")
+        raise FieldError(f"a body of more than {MAX_BODY_BYTES} bytes")
     key = fields.get("dedupe", "")
     client_etag = fields.get("got", "")
     if not _is_token(key) or not _is_token(client_etag):
-        raise FieldError("dedupe or got is not a token of 1 to 128 characters valid in a header")
+        raise FieldError("dedupe or got holds what no header can")
     request_class = settings.classes[class_index]
     if request_class.idempotency is i.Idempotency.IDEMPOTENCY_KEY and not key:
-        raise FieldError("dedupe is missing, and this class can't be retried without it")
+        raise FieldError("dedupe is missing: without it this class can't be repeated")
     ttl = _decode_number(fields, "ttl", 1, MAX_TTL_DEADLINES * request_class.deadline // MS)
     return ClientRequest(
         request_id=request_id,
@@ -155,7 +155,7 @@
     except ValueError:
         size_kb = -1.0
     if not 0 <= size_kb <= MAX_SIZE_KB:  # also rejects nan
-        raise FieldError(f"heap is not a number of KB from 0 to {MAX_SIZE_KB:.0f}")
+        raise FieldError("heap is not a size")
     return size_kb
 
 
--- a/hallproxy/wire/http1.py
+++ b/hallproxy/wire/http1.py
@@ -46,13 +46,13 @@
             return 0
         if "transfer-encoding" in self.fields:
             if not self.chunked:
-                raise HttpError("Transfer-Encoding is not chunked")
+                raise HttpError("a transfer coding other than chunked")
             return None
         text = self.fields.get("content-length")
         if text is None:
             return 0 if self.method else None
         if not (text.isascii() and text.isdigit() and len(text) < 12):
-            raise HttpError("Content-Length is not a number of at most 11 digits")
+            raise HttpError("a length that is no number")
         return int(text)
 
 
@@ -76,7 +76,7 @@
         return None
     start = _REQUEST.match(buffer, 0, end)
     if start is None:
-        raise HttpError("request line is malformed")
+        raise HttpError("no request line")
     return Head(
         end,
         _decode_headers(buffer, start.end(), end),
@@ -90,7 +90,7 @@
     offset = buffer.find(b"\r\n\r\n", 0, filled)
     if offset < 0:
         if filled >= MAX_HEAD_BYTES:
-            raise HttpError(f"head exceeds {MAX_HEAD_BYTES} bytes")
+            raise HttpError("a head that is too long")
         return None
     return offset + 4
 
@@ -100,17 +100,17 @@
     while offset < end - 2:
         field = _FIELD.match(buffer, offset, end)
         if field is None:
-            raise HttpError("header line is malformed")
+            raise HttpError("a header line that can't be read")
         name, value = field[1].decode().lower(), field[2].decode("latin-1")
         if name in fields:
             # Guards against request smuggling with two lengths; other repeated fields form a list.
             if name in ("content-length", "transfer-encoding"):
-                raise HttpError(f"repeated header {name}")
+                raise HttpError(f"two of {name}")
             value = f"{fields[name]}, {value}"
         fields[name] = value
         offset = field.end()
     if "content-length" in fields and "transfer-encoding" in fields:
-        raise HttpError("both Content-Length and Transfer-Encoding are present")
+        raise HttpError("a length and a coding")
     return fields
 
 
