--- a/tests/run/test_change_log_sources.py
+++ b/tests/run/test_change_log_sources.py
@@ -618,7 +618,7 @@
         runner = EffectRunner(GatewayState(SETTINGS, Router(SETTINGS, 1)))
         task = asyncio.ensure_future(Poller(runner, relays[1].address, 0).run())
         await eventually(lambda: len(relays[1].http.requests) > 1)
-        assert all(set(r.fields) == {"host"} for r in relays[1].http.requests)
+        assert all(set(request.fields) == {"host"} for request in relays[1].http.requests)
         task.cancel()
 
     asyncio.run(scenario())
