--- a/hallproxy/repository/__init__.py
+++ b/hallproxy/repository/__init__.py
@@ -1,3 +1,3 @@
-"""The second front, package repositories: what is spoken (``simple``, ``ranges``, ``codings``), its serving
-(``front``, ``rejection``), its deploy file (``config``), and its start and stop (``serve``).
+"""The second front, for package repositories: protocol (``simple``, ``ranges``, ``codings``), serving
+(``front``, ``rejection``), the deploy file (``config``), and start and shutdown (``serve``).
 """
--- a/hallproxy/repository/codings.py
+++ b/hallproxy/repository/codings.py
@@ -1,16 +1,16 @@
-"""Content codings of answers (RFC 9110, section 12.5.3): which one a client takes, and the bytes in it."""
+"""Content codings of responses (RFC 9110, section 12.5.3): negotiation and encoding."""
 
 from __future__ import annotations
 
 import gzip
 
 GZIP, IDENTITY = "gzip", "identity"
-LEVEL = 6
-LEAST = 512  # bytes under which a coding saves nothing worth its time
+GZIP_LEVEL = 6
+MIN_ENCODED_BYTES = 512  # below this, encoding saves too little for the time that it takes
 
 
 def weights(field: str) -> dict[str, float]:
-    """The members of a list with their q-values; what can't be read weighs nothing."""
+    """The members of a list with their q-values; an invalid q-value counts as 0."""
     found: dict[str, float] = {}
     for part in field.split(","):
         name, *params = (p.strip().lower() for p in part.split(";"))
@@ -27,18 +27,20 @@
 
 
 def choose(accept_encoding: str | None) -> str | None:
-    """The coding to answer in; None: the client takes none of those spoken here."""
+    """The coding of the response; None: the client accepts none of the supported ones."""
     if accept_encoding is None or not accept_encoding.strip():
-        return IDENTITY  # with no field any coding may be sent, but old clients mean none by it
-    told = weights(accept_encoding)
-    rest = told.get("*")
-    zipped = max(told.get(GZIP, 0.0), told.get("x-gzip", 0.0)) or (0.0 if GZIP in told else rest or 0.0)
-    plain = told.get(IDENTITY, 1.0 if rest is None or rest > 0 else 0.0)
-    if zipped > 0 and zipped >= (plain if IDENTITY in told else 0.0):
+        return IDENTITY  # without the field any coding may be sent, but old clients expect none
+    accepted = weights(accept_encoding)
+    wildcard = accepted.get("*")
+    gzip_weight = max(accepted.get(GZIP, 0.0), accepted.get("x-gzip", 0.0)) or (
+        0.0 if GZIP in accepted else wildcard or 0.0
+    )
+    identity_weight = accepted.get(IDENTITY, 1.0 if wildcard is None or wildcard > 0 else 0.0)
+    if gzip_weight > 0 and gzip_weight >= (identity_weight if IDENTITY in accepted else 0.0):
         return GZIP
-    return IDENTITY if plain > 0 else None
+    return IDENTITY if identity_weight > 0 else None
 
 
 def encode(body: bytes, coding: str) -> bytes:
-    """The body in the coding. The same bytes come out each time: the tag is theirs."""
-    return gzip.compress(body, LEVEL, mtime=0) if coding == GZIP else body
+    """Encode the body, deterministically: the entity tag is the digest of the encoded bytes."""
+    return gzip.compress(body, GZIP_LEVEL, mtime=0) if coding == GZIP else body
--- a/hallproxy/repository/front.py
+++ b/hallproxy/repository/front.py
@@ -1,8 +1,8 @@
 """The second front: a package repository's clients, over HTTP/1.1.
 
-Each answer takes the whole path: request, the core's event, the reducer and the module, an upstream
-repository, the answer. A file is asked for only by what the index names now, and its bytes are checked
-against the digest in its URL before the first of them goes out, so a client never gets mixed bytes.
+Each request takes the complete path: the core's event, the reducer and the module, an upstream repository,
+the response. A file is requested only as the current index lists it, and its bytes are checked against the
+digest in its URL before the first of them is sent, so a client never gets mixed bytes.
 """
 
 from __future__ import annotations
@@ -47,25 +47,26 @@
 )
 from hallproxy.wire.http1 import Head, HttpError, decode_request_head
 
-SECOND = 1_000_000_000
-SLACK = SECOND // 20  # ns kept back of a deadline for writing the answer
-IDLE = 30.0  # s that a connection waits for its next request, and for the rest of its head
-FIRST_IN = 5.0  # s for a connection's first whole head: who says nothing must not hold a place
-MAX_RENDERED_INDEX_BYTES = 16 * 1024 * 1024  # bytes of indexes kept in the forms they were served in
-STALE = "hallproxy; hit; detail=stale-if-error"  # RFC 9211; every upstream failed, no purge was heard
-FORM = 256  # bytes that each takes beside its body
+SECOND = 1_000_000_000  # ns
+DEADLINE_SLACK = SECOND // 20  # ns of a deadline reserved for writing the response
+IDLE_TIMEOUT = 30.0  # s for the next request's complete head
+FIRST_HEAD_TIMEOUT = 5.0  # s for a connection's first complete head: a silent client must not hold a slot
+MAX_RENDERED_INDEX_BYTES = 16 * 1024 * 1024  # of rendered indexes in the cache
+# Cache-Status (RFC 9211) of a stale index: every upstream failed, and no purge was received.
+STALE_CACHE_STATUS = "hallproxy; hit; detail=stale-if-error"
+RENDERED_INDEX_OVERHEAD = 256  # bytes that each entry takes beside its body
 VARY = "Accept, Accept-Encoding"
-UNSENT_MOST = 96 * 1024 * 1024  # bytes waiting for slow clients, all together
-WRITE = 60.0  # s for a client to take an answer, or a block of a file
-BLOCK = 262_144  # bytes of a file from disk in memory for each client
-PHRASES = {
+MAX_UNSENT_BYTES = 96 * 1024 * 1024  # of responses to all slow clients together
+WRITE_TIMEOUT = 60.0  # s for a client to receive a response, or a block of a file
+FILE_BLOCK_BYTES = 262_144  # of a file from disk, in memory for each client
+REASON_PHRASES = {
     200: "OK", 206: "Partial Content", 301: "Moved Permanently", 304: "Not Modified", 400: "Bad Request",
     401: "Unauthorized", 403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed", 406: "Not Acceptable",
     409: "Conflict", 410: "Gone", 413: "Content Too Large", 416: "Range Not Satisfiable",
     429: "Too Many Requests", 502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
 }  # fmt: skip
-# What the core's reasons are in HTTP. What is merely busy, or not said, is a 503.
-STATUS = {
+# HTTP status by the core's reason; 503 for reasons not listed.
+STATUS_BY_REASON = {
     FailureReason.NO_CONTRACT: 403,
     FailureReason.FORBIDDEN_NETWORK: 403,
     FailureReason.OVER_BUDGET: 429,
@@ -80,7 +81,7 @@
     FailureReason.NOT_FOUND: 404,
     FailureReason.REPLACED: 410,
 }
-WORDS = {
+TEXT_BY_REASON = {
     FailureReason.NO_CONTRACT: "no contract lets this team use this service",
     FailureReason.FORBIDDEN_NETWORK: "the contract does not let this team come from this network",
     FailureReason.OVER_BUDGET: "the contract's budget is used up for now",
@@ -95,39 +96,38 @@
     FailureReason.NOT_FOUND: "the upstream repository does not have it",
     FailureReason.REPLACED: "the bytes that the index named are gone",
 }
-LINGER_FOR = 0.5  # s that a connection whose writing has ended is read on...
-LINGER_LOOK = 0.01  # s between looks at what has come
-LINGER_BYTES = 1024 * 1024  # ...or so many bytes
-LAG_EVERY = 0.01  # s between looks at how late the process is, ...
-LAG_TOLD = 10  # ...so many of which the core is told together
-USE_PATH = "/.use"
-BACK = "read the index again: "  # how an error sends a client back
+LINGER_TIMEOUT = 0.5  # s for which a half-closed connection is still read, ...
+LINGER_POLL_INTERVAL = 0.01  # s between reads
+MAX_LINGER_BYTES = 1024 * 1024  # ...and the bytes read from it
+LAG_SAMPLE_INTERVAL = 0.01  # s between samples of the event loop's lag
+LAG_SAMPLES_PER_EVENT = 10
+USAGE_PATH = "/.use"
+REREAD_INDEX = "read the index again: "  # start of the errors that ask for it
 
 
-async def _linger(made: Stream) -> None:
-    """End the writing and read on until the client has closed, for a while and so many bytes at most.
+async def _linger(stream: Stream) -> None:
+    """Half-close and read until the client has closed, within limits of time and bytes.
 
-    Closing over unread bytes, as of a body that is not wanted, would reset the connection and take the answer
-    with it that is on its way. TLS ends by a message of its own, behind the answer.
+    Closing with unread bytes, as of a rejected body, would reset the connection, and the client would lose
+    the response in transit. TLS ends with a message of its own, after the response.
     """
-    if isinstance(made, TlsStream):
+    if isinstance(stream, TlsStream):
         return
-    made.half_close()
+    stream.half_close()
     scratch, clock = memoryview(bytearray(16_384)), asyncio.get_running_loop().time
-    until, dropped = clock() + LINGER_FOR, 0
-    while dropped < LINGER_BYTES and clock() < until and not made.closed():
-        size = made.read_available(
-            scratch
-        )  # a read that looks out for the client's leaving may still be waiting
+    deadline, dropped = clock() + LINGER_TIMEOUT, 0
+    while dropped < MAX_LINGER_BYTES and clock() < deadline and not stream.closed():
+        # A read that detects the client's disconnect may still be pending.
+        size = stream.read_available(scratch)
         if size == 0:
             return
         dropped += size or 0
         if size is None:
-            await asyncio.sleep(LINGER_LOOK)
+            await asyncio.sleep(LINGER_POLL_INTERVAL)
 
 
 class HttpResponse:
-    """An answer to be written. With ``file``, ``size`` bytes of it from where it stands are the body."""
+    """A response to be written. With ``file``, the body is ``size`` bytes from its current position."""
 
     __slots__ = ("status", "fields", "body", "file", "size")
 
@@ -138,517 +138,572 @@
         self.file, self.size = file, size if file is not None else len(body)
 
 
-def plain(status: int, text: str, **more: str) -> HttpResponse:
+def plain_response(status: int, text: str, **extra_fields: str) -> HttpResponse:
     fields = {"Content-Type": "text/plain; charset=utf-8", "Cache-Control": "no-store"}
-    fields |= {name.replace("_", "-"): value for name, value in more.items()}
+    fields |= {name.replace("_", "-"): value for name, value in extra_fields.items()}
     return HttpResponse(status, f"{text}\n".encode(), fields)
 
 
 @dataclass(slots=True, frozen=True)
-class Who:
-    """Who asks: the team, where from, and whether the client has asked for the same before."""
+class Requester:
+    """A request's team and connection, and whether the client declares it a retry."""
 
     team: str
-    seat: Seat
-    repeat: bool
-
-
-class Seat:
-    """One client's connection: whose it is, and the place that it holds until it ends."""
-
-    __slots__ = ("made", "address", "network", "team", "unsent", "held", "gone", "waits", "watch")
-
-    def __init__(self, made: Stream, address: str, network: str) -> None:
-        self.made, self.address, self.network = made, address, network
+    connection: ClientConnection
+    is_retry: bool
+
+
+class ClientConnection:
+    """One client's connection, and the connection slot that it holds until it ends."""
+
+    __slots__ = (
+        "stream",
+        "address",
+        "network",
+        "team",
+        "unsent_bytes",
+        "holds_slot",
+        "disconnected",
+        "pending_response",
+        "watch_for_disconnect",
+    )
+
+    def __init__(self, stream: Stream, address: str, network: str) -> None:
+        self.stream, self.address, self.network = stream, address, network
         self.team = ""  # of the latest request
-        self.unsent = 0  # bytes that the client has not taken yet
-        self.held = True
-        self.gone = False  # the client has left
-        self.waits: asyncio.Future[Response] | None = None  # the core's answer that is waited for
-        self.watch: Callable[[], None] = lambda: None  # look out for the client's leaving
+        self.unsent_bytes = 0  # of a response that the client has not received yet
+        self.holds_slot = True
+        self.disconnected = False  # by the client
+        self.pending_response: asyncio.Future[Response] | None = None  # of the core
+        self.watch_for_disconnect: Callable[[], None] = lambda: None
 
 
-class Repository:
+class RepositoryFront:
     def __init__(
         self,
-        loop: EffectRunner,
-        most: int,
-        indexes: simple.Remembered | None = None,
+        runner: EffectRunner,
+        max_connections: int,
+        indexes: simple.IndexCache | None = None,
         routes: Routes | None = None,
     ) -> None:
-        self.loop = loop
-        self.open_file: Callable[[str], BinaryIO]  # of files kept on disk, where there are any
-        self.routes = routes or Routes((), ())  # read anew with the deploy file
-        self.tls: ssl.SSLContext | None = None  # towards clients; a reload's is for new connections
-        self._indexes = indexes or simple.Remembered()
-        # Teams' tokens and services' projects; read anew with the contracts.
+        self.runner = runner
+        self.open_file: Callable[[str], BinaryIO]  # of the disk cache; unset without one
+        self.routes = routes or Routes((), ())  # replaced when the deploy file is reloaded
+        self.tls: ssl.SSLContext | None = None  # towards clients; a reload changes it for new connections
+        self._indexes = indexes or simple.IndexCache()
+        # Teams' tokens and services' projects; replaced when contracts are applied.
         self.applied = AppliedContracts()
-        self._classes = {c.name: n for n, c in enumerate(loop.state.settings.classes)}
-        self.places = ConnectionSlots(most)
+        self._classes = {c.name: n for n, c in enumerate(runner.state.settings.classes)}
+        self.slots = ConnectionSlots(max_connections)
         self.connection_rejecter = ConnectionRejecter()
-        self.busy = 0  # requests taken whose answer has not left
+        self.in_flight_requests = 0  # whose response is not written yet
         self.stopping = False
-        self._unsent = 0  # bytes of answers that clients have not taken yet
-        self._slow: set[Seat] = set()  # connections with such bytes
-        self._idle: dict[Seat, None] = {}  # connections with nothing asked, the longest idle first
-        self._forms: LRUCache[tuple[str, ...], tuple[bytes, str]] = LRUCache(
-            MAX_RENDERED_INDEX_BYTES, getsizeof=lambda made: len(made[0]) + FORM
+        self._unsent_bytes = 0  # of all slow clients
+        self._slow_clients: set[ClientConnection] = set()  # with unsent bytes
+        self._idle_connections: dict[ClientConnection, None] = {}  # longest idle first
+        self._rendered_indexes: LRUCache[tuple[str, ...], tuple[bytes, str]] = LRUCache(
+            MAX_RENDERED_INDEX_BYTES, getsizeof=lambda rendered: len(rendered[0]) + RENDERED_INDEX_OVERHEAD
         )
         self._tasks: set[asyncio.Task[None]] = set()
 
     def accept(self, sock: socket.socket, peer: tuple[str, int]) -> None:
-        """Take a connection if there is a place and time for it; else it is told when to come back."""
-        address, now = peer[0], self.loop.now()
+        """Serve the connection if there are a slot and time for it; else reject it with a Retry-After."""
+        address, now = peer[0], self.runner.now()
         network, tls = client_network(address), self.tls
-        if not self.places.try_connect(network, now):
-            if not self._make_room(network) or not self.places.try_connect(network, now):
+        if not self.slots.try_connect(network, now):
+            if not self._evict_idle(network) or not self.slots.try_connect(network, now):
                 return self.connection_rejecter.reject(sock, tls is None)
-        if not self.places.admit_request(network, now):  # a connection is opened to ask
-            self.places.disconnect(network)
+        if not self.slots.admit_request(network, now):  # its first request
+            self.slots.disconnect(network)
             return self.connection_rejecter.reject(sock, tls is None)
         try:
-            made = tcp_stream(sock) if tls is None else tls_server_stream(sock, tls)
+            stream = tcp_stream(sock) if tls is None else tls_server_stream(sock, tls)
         except (OSError, ValueError):
-            self.places.disconnect(network)
+            self.slots.disconnect(network)
             return sock.close()
-        seat = Seat(made, address, network)
-        task = asyncio.get_running_loop().create_task(self._serve(seat))
+        connection = ClientConnection(stream, address, network)
+        task = asyncio.get_running_loop().create_task(self._serve(connection))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _leave(self, seat: Seat) -> None:
-        if seat.held:
-            seat.held = False
-            self.places.disconnect(seat.network)
+    def _release_slot(self, connection: ClientConnection) -> None:
+        if connection.holds_slot:
+            connection.holds_slot = False
+            self.slots.disconnect(connection.network)
 
-    def _make_room(self, network: str) -> bool:
-        """Close the connection that has idled longest, of a network over its share, for one under it."""
-        if self.places.exceeds_share(network):
+    def _evict_idle(self, network: str) -> bool:
+        """Close the longest idle connection of a network above its share, for one of a network below it."""
+        if self.slots.exceeds_share(network):
             return False
-        return self._close_idle(next((s for s in self._idle if self.places.exceeds_share(s.network)), None))
+        return self._close_idle(
+            next((c for c in self._idle_connections if self.slots.exceeds_share(c.network)), None)
+        )
 
     def close_idle(self) -> bool:
-        """Close the connection that has idled longest, whoever's it is; whether there was one."""
-        return self._close_idle(next(iter(self._idle), None))
+        """Close the longest idle connection of any network; return whether there was one."""
+        return self._close_idle(next(iter(self._idle_connections), None))
 
-    def _close_idle(self, seat: Seat | None) -> bool:
-        if seat is None:
+    def _close_idle(self, connection: ClientConnection | None) -> bool:
+        if connection is None:
             return False
-        del self._idle[seat]
-        self._leave(seat)  # its task ends a little later
-        seat.made.close()
+        del self._idle_connections[connection]
+        self._release_slot(connection)  # its task ends a little later
+        connection.stream.close()
         return True
 
-    async def watch_lag(self) -> None:
-        """How late the process is for a timer of its own: the sign that the core's time runs short."""
-        running = asyncio.get_running_loop()
+    async def measure_lag(self) -> None:
+        """Sample how late a timer fires: a lagging event loop shows that the process is overloaded."""
+        running_loop = asyncio.get_running_loop()
         while True:
-            late = 0
-            for _ in range(LAG_TOLD):
-                due = running.time() + LAG_EVERY
-                await asyncio.sleep(LAG_EVERY)
-                lag = int(max(0.0, running.time() - due) * SECOND)
-                self.places.event_loop_lagged(lag, self.loop.now())
-                late += lag
-            self.loop.dispatch(EventLoopLagged(self.loop.now(), late // LAG_TOLD))
+            total_lag = 0
+            for _ in range(LAG_SAMPLES_PER_EVENT):
+                due_at = running_loop.time() + LAG_SAMPLE_INTERVAL
+                await asyncio.sleep(LAG_SAMPLE_INTERVAL)
+                lag = int(max(0.0, running_loop.time() - due_at) * SECOND)
+                self.slots.event_loop_lagged(lag, self.runner.now())
+                total_lag += lag
+            self.runner.dispatch(EventLoopLagged(self.runner.now(), total_lag // LAG_SAMPLES_PER_EVENT))
 
     async def close(self) -> None:
-        """End the connections that are left, once all that was taken is answered."""
+        """Close the remaining connections; to be called once the requests in flight are answered."""
         self.connection_rejecter.close()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _serve(self, seat: Seat) -> None:
-        reader, wait = _Reader(seat.made), FIRST_IN
+    async def _serve(self, connection: ClientConnection) -> None:
+        reader, head_timeout = _RequestReader(connection.stream), FIRST_HEAD_TIMEOUT
         try:
-            if isinstance(seat.made, TlsStream):
-                # Within the time for the first head: who never ends a handshake must not hold a place.
-                await asyncio.wait_for(seat.made.wait_for_handshake(), FIRST_IN)
+            if isinstance(connection.stream, TlsStream):
+                # Within the first head's timeout: a client that never ends a handshake must not hold a slot.
+                await asyncio.wait_for(connection.stream.wait_for_handshake(), FIRST_HEAD_TIMEOUT)
             while True:
-                self._idle[seat] = None
+                self._idle_connections[connection] = None
                 try:
-                    head = await reader.head(wait)
+                    head = await reader.head(head_timeout)
                     if head.chunked or head.body_length:
                         raise HttpError("a request with a body")
                 except HttpError as error:
-                    await self._write(seat, plain(400, str(error)), False, False)
-                    return await _linger(seat.made)
-                self._idle.pop(seat, None)
-                if wait == IDLE and not self.places.admit_request(seat.network, self.loop.now()):
-                    # Not the first one, which was counted when the connection was taken.
-                    seat.made.write_pieces([OVERLOADED])
+                    await self._write(connection, plain_response(400, str(error)), False, False)
+                    return await _linger(connection.stream)
+                self._idle_connections.pop(connection, None)
+                if head_timeout == IDLE_TIMEOUT and not self.slots.admit_request(
+                    connection.network, self.runner.now()
+                ):
+                    # Not the first request, which was counted when the connection was accepted.
+                    connection.stream.write_pieces([OVERLOADED])
                     continue
-                self.busy, wait = self.busy + 1, IDLE
+                self.in_flight_requests, head_timeout = self.in_flight_requests + 1, IDLE_TIMEOUT
                 try:
-                    response = await self._answer_or_leave(reader, head, seat)
-                    keeps = head.keep_alive and not self.stopping
-                    await self._write(seat, response, head.method == "HEAD", keeps)
+                    response = await self._answer_until_disconnect(reader, head, connection)
+                    keep_alive = head.keep_alive and not self.stopping
+                    await self._write(connection, response, head.method == "HEAD", keep_alive)
                 finally:
-                    self.busy -= 1
-                    self.places.request_finished()
-                if not keeps:
-                    return await _linger(seat.made)
+                    self.in_flight_requests -= 1
+                    self.slots.request_finished()
+                if not keep_alive:
+                    return await _linger(connection.stream)
         except (StreamClosedError, OSError, TimeoutError, ssl.SSLError):
             pass
         finally:
-            self._idle.pop(seat, None)
-            self._leave(seat)
-            seat.made.close()
+            self._idle_connections.pop(connection, None)
+            self._release_slot(connection)
+            connection.stream.close()
 
-    async def _answer_or_leave(self, reader: _Reader, head: Head, seat: Seat) -> HttpResponse:
-        """The answer; if the client leaves while it is made, what is out for it is given up too."""
-        watched: list[asyncio.Future[None]] = []
+    async def _answer_until_disconnect(
+        self, reader: _RequestReader, head: Head, connection: ClientConnection
+    ) -> HttpResponse:
+        """The response; if the client disconnects meanwhile, its pending request to the core is cancelled."""
+        reads: list[asyncio.Future[None]] = []
 
-        def left(done: asyncio.Future[None]) -> None:
-            # A request sent ahead just waits; a break is the client's leaving.
+        def reading_ended(done: asyncio.Future[None]) -> None:
+            # A pipelined request stays in the buffer; an error means that the client has disconnected.
             if done.cancelled() or done.exception() is not None:
-                seat.gone = True
-                if seat.waits is not None and not seat.waits.done():
-                    seat.waits.set_exception(StreamClosedError())
+                connection.disconnected = True
+                if connection.pending_response is not None and not connection.pending_response.done():
+                    connection.pending_response.set_exception(StreamClosedError())
 
-        def watch() -> None:
-            # Only where the core's answer has to be waited for: most come from memory, at once.
-            if not watched:
-                watched.append(reader.ahead())
-                watched[0].add_done_callback(left)
+        def watch_for_disconnect() -> None:
+            # Only while the core's response is pending: most come from memory, at once.
+            if not reads:
+                reads.append(reader.read_ahead())
+                reads[0].add_done_callback(reading_ended)
 
-        seat.watch = watch
+        connection.watch_for_disconnect = watch_for_disconnect
         try:
-            return await self._answer(head, seat)
+            return await self._answer(head, connection)
         finally:
-            for ahead in watched:
-                ahead.remove_done_callback(left)
+            for read in reads:
+                read.remove_done_callback(reading_ended)
 
-    async def _answer(self, head: Head, seat: Seat) -> HttpResponse:
+    async def _answer(self, head: Head, connection: ClientConnection) -> HttpResponse:
         if head.method not in ("GET", "HEAD"):
-            return plain(405, "only GET and HEAD are served", Allow="GET, HEAD")
-        if head.target == USE_PATH:
-            return self._use(head)
-        wanted = simple.read_target(head.target)
-        if wanted is None:
-            return plain(404, "nothing is served here")
-        if wanted.moved:
-            return plain(301, wanted.moved, Location=wanted.moved)
-        team = self._team(head)
+            return plain_response(405, "only GET and HEAD are served", Allow="GET, HEAD")
+        if head.target == USAGE_PATH:
+            return self._usage_response(head)
+        target = simple.parse_target(head.target)
+        if target is None:
+            return plain_response(404, "nothing is served here")
+        if target.redirect_path:
+            return plain_response(301, target.redirect_path, Location=target.redirect_path)
+        team = self._authenticate(head)
         if team is None:
-            return plain(401, "a team and its token are needed", WWW_Authenticate='Basic realm="hallproxy"')
-        seat.team = team
-        who = Who(team, seat, head.fields.get("retry-attempt", "0") not in ("", "0"))
-        media = simple.choose(head.fields.get("accept", ""))
+            return plain_response(
+                401, "a team and its token are needed", WWW_Authenticate='Basic realm="hallproxy"'
+            )
+        connection.team = team
+        requester = Requester(team, connection, head.fields.get("retry-attempt", "0") not in ("", "0"))
+        media = simple.choose_media_type(head.fields.get("accept", ""))
         coding = codings.choose(head.fields.get("accept-encoding"))
-        if not wanted.file and media is None:
-            return plain(406, f"indexes are served as {simple.JSON}, {simple.HTML} and {simple.PLAIN_HTML}")
+        if not target.file and media is None:
+            return plain_response(
+                406, f"indexes are served as {simple.JSON}, {simple.HTML} and {simple.PLAIN_HTML}"
+            )
         if coding is None:
-            if not wanted.file:
-                return plain(406, "indexes are served in gzip or with no coding", Vary=VARY)
-            coding = codings.IDENTITY  # a file has no other form: refusing it would help nobody
-        began = self.loop.now()
-        path = f"/simple/{wanted.project}/" if wanted.project else "/simple/"
-        route = self.routes.find(simple.normal(wanted.project) if wanted.project else "")
-        said, tier = await self._walk(who, wanted, route, path, began)
-        if said.kind is not ResponseKind.SERVED:
-            return self._error(said, "")
-        small = len(said.body) < simple.LARGE
-        if small or self._indexes.get(said.etag) is not None:
-            index = simple.unpack_index(said.body, wanted.project, said.etag, self._indexes)
+            if not target.file:
+                return plain_response(406, "indexes are served in gzip or with no coding", Vary=VARY)
+            coding = codings.IDENTITY  # files have no other coding: a 406 would help nobody
+        started_at = self.runner.now()
+        path = f"/simple/{target.project}/" if target.project else "/simple/"
+        route = self.routes.find(simple.normalize_name(target.project) if target.project else "")
+        core_response, tier = await self._request_index(requester, target, route, path, started_at)
+        if core_response.kind is not ResponseKind.SERVED:
+            return self._error_response(core_response, "")
+        small = len(core_response.body) < simple.LARGE_INDEX_BYTES
+        if small or self._indexes.get(core_response.etag) is not None:
+            index = simple.unpack_index(core_response.body, target.project, core_response.etag, self._indexes)
         else:
             index = await asyncio.to_thread(
-                simple.unpack_index, said.body, wanted.project, said.etag, self._indexes
+                simple.unpack_index, core_response.body, target.project, core_response.etag, self._indexes
             )
-        if not wanted.file:
+        if not target.file:
             media = media or simple.PLAIN_HTML
-            body, tag = await self._rendered(said, index, media, coding)
-            return self._index(said, media, coding, head, body, tag)
-        return await self._file(who, wanted, index, head, began, path, tier)
+            body, tag = await self._render(core_response, index, media, coding)
+            return self._index_response(core_response, media, coding, head, body, tag)
+        return await self._file_response(requester, target, index, head, started_at, path, tier)
 
-    async def _walk(
-        self, who: Who, wanted: simple.Wanted, route: Route, path: str, began: int
+    async def _request_index(
+        self, requester: Requester, target: simple.Target, route: Route, path: str, started_at: int
     ) -> tuple[Response, Tier]:
-        """The index from the first tier of the route that does not plainly lack it; the tier it came from."""
-        place = 0
+        """The index from the first tier of the route that does not lack it, and that tier."""
+        tier_index = 0
         while True:
-            tier = route.tiers[place]
-            said = await self._ask(who, wanted, INDEX, path, began, tier=tier)
-            absent = said.reason is FailureReason.NOT_FOUND
-            went_on = None if said.kind is ResponseKind.SERVED else route.next_tier(place, not_found=absent)
-            if went_on is None:
-                return said, tier
-            place = went_on
-
-    def _index(
-        self, said: Response, media: str, coding: str, head: Head, body: bytes, tag: str
+            tier = route.tiers[tier_index]
+            response = await self._request(requester, target, INDEX, path, started_at, tier=tier)
+            not_found = response.reason is FailureReason.NOT_FOUND
+            next_index = (
+                None
+                if response.kind is ResponseKind.SERVED
+                else route.next_tier(tier_index, not_found=not_found)
+            )
+            if next_index is None:
+                return response, tier
+            tier_index = next_index
+
+    def _index_response(
+        self, core_response: Response, media: str, coding: str, head: Head, body: bytes, tag: str
     ) -> HttpResponse:
-        # no-cache: a client's own copy must be asked about each time, or it could outlive a purge.
-        fields = {"ETag": f'"{tag}"', "Cache-Control": "no-cache", "Vary": VARY, "Age": self._age(said)}
-        if said.stale:
-            fields["Cache-Status"] = STALE
-        if simple.same(tag, head.fields.get("if-none-match", "")):
+        # no-cache: a client must revalidate its own copy each time, or it could outlive a purge.
+        fields = {
+            "ETag": f'"{tag}"',
+            "Cache-Control": "no-cache",
+            "Vary": VARY,
+            "Age": self._age(core_response),
+        }
+        if core_response.stale:
+            fields["Cache-Status"] = STALE_CACHE_STATUS
+        if simple.matches_etag(tag, head.fields.get("if-none-match", "")):
             return HttpResponse(304, b"", fields)
         fields["Content-Type"] = f"{media}; charset=utf-8" if "html" in media else media
         if coding != codings.IDENTITY:
             fields["Content-Encoding"] = coding
         return HttpResponse(200, body, fields)
 
-    async def _rendered(
-        self, said: Response, index: simple.Index, media: str, coding: str
+    async def _render(
+        self, core_response: Response, index: simple.Index, media: str, coding: str
     ) -> tuple[bytes, str]:
-        """An index in one form and coding, and its tag; kept by the digest of what it was made from."""
-        place = (said.etag, index.project, media, coding)
-        made: tuple[bytes, str] | None = self._forms.get(place)
-        if made is None:
-            if len(said.body) < simple.LARGE:
-                made = _form(index, media, coding)
+        """An index in a media type and coding, and its tag; cached by the digest of the packed index."""
+        key = (core_response.etag, index.project, media, coding)
+        rendered: tuple[bytes, str] | None = self._rendered_indexes.get(key)
+        if rendered is None:
+            if len(core_response.body) < simple.LARGE_INDEX_BYTES:
+                rendered = _render_encoded(index, media, coding)
             else:
-                made = await asyncio.to_thread(_form, index, media, coding)
-            if len(made[0]) + FORM <= MAX_RENDERED_INDEX_BYTES:
-                self._forms[place] = made
-        return made
+                rendered = await asyncio.to_thread(_render_encoded, index, media, coding)
+            if len(rendered[0]) + RENDERED_INDEX_OVERHEAD <= MAX_RENDERED_INDEX_BYTES:
+                self._rendered_indexes[key] = rendered
+        return rendered
 
-    async def _file(
+    async def _file_response(
         self,
-        who: Who,
-        wanted: simple.Wanted,
+        requester: Requester,
+        target: simple.Target,
         index: simple.Index,
         head: Head,
-        began: int,
+        started_at: int,
         path: str,
         tier: Tier,
     ) -> HttpResponse:
-        file = index.file(wanted.file)
+        file = index.file(target.file)
         link = f'<{path}>; rel="index"'
-        named = wanted.file + (simple.METADATA if wanted.metadata else "")
-        if file is None or (wanted.metadata and not file.metadata):
-            return plain(404, f"{BACK}{path} names no {named}", Link=link)
-        if file.digest != wanted.digest:
-            # The index was replaced while the client was halfway through the one it holds.
-            return plain(410, f"{BACK}{path} names other bytes for {wanted.file} now", Link=link)
-        digest = file.metadata if wanted.metadata else file.digest
-        url = simple.metadata_url(file.url) if wanted.metadata else file.url
-        tag = digest if simple.same(digest, head.fields.get("if-none-match", "")) else ""
-        size = 0 if wanted.metadata else file.size or 0
-        said = await self._ask(who, wanted, PACKAGE, url, began, tag, size / 1000, digest, tier)
-        if said.kind is not ResponseKind.SERVED:
-            if said.reason in (FailureReason.NOT_FOUND, FailureReason.REPLACED):
-                return plain(410, f"{BACK}{path} ({WORDS[said.reason]})", Link=link)
-            return self._error(said, path)
-        fields = {"ETag": f'"{digest}"', "Cache-Control": "no-cache", "Age": self._age(said)}
+        file_name = target.file + (simple.METADATA_SUFFIX if target.is_metadata else "")
+        if file is None or (target.is_metadata and not file.metadata):
+            return plain_response(404, f"{REREAD_INDEX}{path} names no {file_name}", Link=link)
+        if file.digest != target.digest:
+            # The index was replaced after the client had read it.
+            return plain_response(
+                410, f"{REREAD_INDEX}{path} names other bytes for {target.file} now", Link=link
+            )
+        digest = file.metadata if target.is_metadata else file.digest
+        url = simple.metadata_url(file.url) if target.is_metadata else file.url
+        tag = digest if simple.matches_etag(digest, head.fields.get("if-none-match", "")) else ""
+        size = 0 if target.is_metadata else file.size or 0
+        core_response = await self._request(
+            requester, target, PACKAGE, url, started_at, tag, size / 1000, digest, tier
+        )
+        if core_response.kind is not ResponseKind.SERVED:
+            if core_response.reason in (FailureReason.NOT_FOUND, FailureReason.REPLACED):
+                return plain_response(
+                    410, f"{REREAD_INDEX}{path} ({TEXT_BY_REASON[core_response.reason]})", Link=link
+                )
+            return self._error_response(core_response, path)
+        fields = {"ETag": f'"{digest}"', "Cache-Control": "no-cache", "Age": self._age(core_response)}
         fields["Accept-Ranges"] = "bytes"
-        if said.not_modified:
+        if core_response.not_modified:
             return HttpResponse(304, b"", fields)
         fields["Content-Type"] = "application/octet-stream"
-        asked = head.fields.get("range", "") if head.method == "GET" else ""
-        size = said.size if said.stored_file else len(said.body)
+        range_field = head.fields.get("range", "") if head.method == "GET" else ""
+        size = core_response.size if core_response.stored_file else len(core_response.body)
         status, first, end = 200, 0, size
-        if asked and ranges.still_holds(head.fields.get("if-range", ""), digest):
-            part = ranges.wanted(asked, size)
-            if isinstance(part, ranges.Unsatisfiable):
-                told = {"Content-Range": f"bytes */{size}", "Accept-Ranges": "bytes"}
-                return plain(416, "no byte of it lies in that range", **told)
-            if part is not None:
-                fields["Content-Range"] = part.told
-                status, first, end = 206, part.first, part.end
-        if not said.stored_file:
-            return HttpResponse(status, said.body[first:end] if status == 206 else said.body, fields)
+        if range_field and ranges.if_range_matches(head.fields.get("if-range", ""), digest):
+            byte_range = ranges.requested_range(range_field, size)
+            if isinstance(byte_range, ranges.Unsatisfiable):
+                extra_fields = {"Content-Range": f"bytes */{size}", "Accept-Ranges": "bytes"}
+                return plain_response(416, "no byte of it lies in that range", **extra_fields)
+            if byte_range is not None:
+                fields["Content-Range"] = byte_range.content_range
+                status, first, end = 206, byte_range.first, byte_range.end
+        if not core_response.stored_file:
+            return HttpResponse(
+                status, core_response.body[first:end] if status == 206 else core_response.body, fields
+            )
         try:
-            opened = await asyncio.to_thread(self.open_file, said.stored_file)
+            opened = await asyncio.to_thread(self.open_file, core_response.stored_file)
             opened.seek(first)
-        except OSError:  # it has left the directory between the answer and now
-            return plain(503, "the file is not kept any more: ask again", Retry_After="1")
+        except OSError:  # removed from the cache since the core's response
+            return plain_response(503, "the file is not kept any more: ask again", Retry_After="1")
         return HttpResponse(status, b"", fields, opened, end - first)
 
-    def _age(self, said: Response) -> str:
-        return str(max(0, self.loop.now() - said.generated_at) // SECOND)
+    def _age(self, response: Response) -> str:
+        return str(max(0, self.runner.now() - response.generated_at) // SECOND)
 
-    def _error(self, said: Response, path: str) -> HttpResponse:
-        status = STATUS.get(said.reason, 503)
-        text = WORDS.get(said.reason, "the gateway has no room for it now")
+    def _error_response(self, response: Response, path: str) -> HttpResponse:
+        status = STATUS_BY_REASON.get(response.reason, 503)
+        text = TEXT_BY_REASON.get(response.reason, "the gateway has no room for it now")
         fields = {}
-        if said.retry_after and status in (429, 502, 503, 504):
-            fields["Retry_After"] = str(-(-said.retry_after // SECOND))
-        return plain(status, f"{text}{f' ({path})' if path else ''}", **fields)
+        if response.retry_after and status in (429, 502, 503, 504):
+            fields["Retry_After"] = str(-(-response.retry_after // SECOND))
+        return plain_response(status, f"{text}{f' ({path})' if path else ''}", **fields)
 
-    async def _ask(
+    async def _request(
         self,
-        who: Who,
-        wanted: simple.Wanted,
-        cls: str,
+        requester: Requester,
+        target: simple.Target,
+        class_name: str,
         name: str,
-        began: int,
-        held: str = "",
+        started_at: int,
+        client_etag: str = "",
         size_kb: float = 0.0,
         digest: str = "",
         tier: Tier | None = None,
     ) -> Response:
-        """One request of the core. The deadline is that of the client's request, however many it takes.
+        """Make one request to the core. All requests for a client's request share its deadline.
 
-        ``tier``: the upstreams that may answer it. Each tier's index is a part of its own, so that one tier's
-        copy or "not there" never stands for another's; a file is one part by its bytes, wherever it is from.
+        ``tier``: the upstreams that may answer it. Each tier's index is a separate part, so that one tier's
+        copy or "not found" is never used for another; a file is one part by its bytes, whatever its upstream.
         """
-        place = self._classes[cls]
-        deadline = self.loop.state.settings.classes[place].deadline
-        obj = simple.object_id(wanted.project)
-        # A part is one file by its bytes: another digest under the same name is another part.
-        part = int(hashlib.sha256(f"{wanted.file}={digest}".encode()).hexdigest()[:12], 16) if digest else 0
-        among: frozenset[bytes] = frozenset()
+        class_index = self._classes[class_name]
+        deadline = self.runner.state.settings.classes[class_index].deadline
+        obj = simple.object_id(target.project)
+        # A part is a file by its bytes: another digest under the same name is another part.
+        part = int(hashlib.sha256(f"{target.file}={digest}".encode()).hexdigest()[:12], 16) if digest else 0
+        allowed_endpoints: frozenset[bytes] = frozenset()
         if tier is not None and tier.part:
-            among = frozenset(u.encode() for u in tier.upstreams)
+            allowed_endpoints = frozenset(u.encode() for u in tier.upstreams)
             part = part or tier.part
-        asked = ClientRequest(
+        client_request = ClientRequest(
             request_id="",
-            class_index=place,
-            time_left=max(0, began + deadline - SLACK - self.loop.now()),
+            class_index=class_index,
+            time_left=max(0, started_at + deadline - DEADLINE_SLACK - self.runner.now()),
             object=obj,
             name=name,
             part=part,
             group=obj & 0xFF,
             size_kb=size_kb,
-            client_etag=held,
-            team=who.team,
-            client_address=who.seat.address,
-            is_retry=who.repeat,
-            service=self.applied.service_of(wanted.project),
+            client_etag=client_etag,
+            team=requester.team,
+            client_address=requester.connection.address,
+            is_retry=requester.is_retry,
+            service=self.applied.service_of(target.project),
             digest=digest,
-            allowed_endpoints=among,
+            allowed_endpoints=allowed_endpoints,
         )
-        if who.seat.gone:
+        if requester.connection.disconnected:
             raise StreamClosedError()
         future: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
-        who.seat.waits = future
-        caller = self.loop.register_downstream(
-            lambda answer: None if future.done() else future.set_result(answer)
+        requester.connection.pending_response = future
+        downstream = self.runner.register_downstream(
+            lambda response: None if future.done() else future.set_result(response)
         )
-        self.loop.dispatch(RequestReceived(self.loop.now(), caller, asked))
+        self.runner.dispatch(RequestReceived(self.runner.now(), downstream, client_request))
         try:
             if not future.done():
-                who.seat.watch()
+                requester.connection.watch_for_disconnect()
             return await future
         finally:
-            who.seat.waits = None
-            if self.loop.response_callbacks.pop(caller, None) is not None:  # nobody waits any more
-                self.loop.dispatch(DownstreamClosed(self.loop.now(), caller))
+            requester.connection.pending_response = None
+            if self.runner.response_callbacks.pop(downstream, None) is not None:  # cancelled
+                self.runner.dispatch(DownstreamClosed(self.runner.now(), downstream))
 
-    def _team(self, head: Head) -> str | None:
-        """The team whose token the request carries; empty where no contracts are kept, None: no such."""
-        if self.loop.state.broker is None:
+    def _authenticate(self, head: Head) -> str | None:
+        """The team whose token the request carries; empty without contracts; None: not authenticated."""
+        if self.runner.state.broker is None:
             return ""
-        scheme, _, word = head.fields.get("authorization", "").partition(" ")
+        scheme, _, credentials = head.fields.get("authorization", "").partition(" ")
         try:
-            team, _, token = base64.b64decode(word, validate=True).decode().partition(":")
+            team, _, token = base64.b64decode(credentials, validate=True).decode().partition(":")
         except (binascii.Error, ValueError):
             return None
-        said = hashlib.sha256(token.encode()).hexdigest()
-        known = self.applied.tokens.get(team, "")
-        return team if scheme.lower() == "basic" and known and hmac.compare_digest(said, known) else None
+        token_digest = hashlib.sha256(token.encode()).hexdigest()
+        expected_digest = self.applied.tokens.get(team, "")
+        return (
+            team
+            if scheme.lower() == "basic"
+            and expected_digest
+            and hmac.compare_digest(token_digest, expected_digest)
+            else None
+        )
 
-    def _use(self, head: Head) -> HttpResponse:
-        """A team's own use of its contracts; all teams', and the room there is, for operators."""
-        broker = self.loop.state.broker
+    def _usage_response(self, head: Head) -> HttpResponse:
+        """A team's usage of its contracts; for operators, all teams' and the connection slots."""
+        broker = self.runner.state.broker
         if broker is None:
-            return plain(404, "no contracts are kept here")
-        team = self._team(head)
+            return plain_response(404, "no contracts are kept here")
+        team = self._authenticate(head)
         if team is None:
-            return plain(401, "a team and its token are needed", WWW_Authenticate='Basic realm="hallproxy"')
-        whole = broker.contracts.team(team).operator
-        shown = broker.report(self.loop.now(), "" if whole else team)
-        if whole:
-            shown["places"] = self.places.report() | {"turned_away": self.connection_rejecter.count}
+            return plain_response(
+                401, "a team and its token are needed", WWW_Authenticate='Basic realm="hallproxy"'
+            )
+        is_operator = broker.contracts.team(team).operator
+        report = broker.report(self.runner.now(), "" if is_operator else team)
+        if is_operator:
+            report["places"] = self.slots.report() | {"turned_away": self.connection_rejecter.count}
         fields = {"Content-Type": "application/json", "Cache-Control": "no-store"}
-        return HttpResponse(200, json.dumps(shown).encode(), fields)
+        return HttpResponse(200, json.dumps(report).encode(), fields)
 
-    async def _write(self, seat: Seat, response: HttpResponse, head_only: bool, keeps: bool) -> None:
-        lines = [f"HTTP/1.1 {response.status} {PHRASES[response.status]}"]
+    async def _write(
+        self, connection: ClientConnection, response: HttpResponse, head_only: bool, keep_alive: bool
+    ) -> None:
+        lines = [f"HTTP/1.1 {response.status} {REASON_PHRASES[response.status]}"]
         lines += [f"{name}: {value}" for name, value in response.fields.items()]
         lines.append(f"Date: {_date(int(time.time()))}")
         if response.status != 304:
             lines.append(f"Content-Length: {response.size}")
-        if not keeps:
+        if not keep_alive:
             lines.append("Connection: close")
         head = "\r\n".join([*lines, "", ""]).encode()
-        made = seat.made
+        stream = connection.stream
         if response.file is not None:
             with response.file:
-                made.write_pieces([head])
-                await self._taken(seat)
-                left = 0 if head_only else response.size
-                while left:
-                    # A block at a time, as the client takes them: a slow one holds a block and a file open.
-                    block = await asyncio.to_thread(response.file.read, min(left, BLOCK))
+                stream.write_pieces([head])
+                await self._drain(connection)
+                remaining = 0 if head_only else response.size
+                while remaining:
+                    # Block by block: a slow client takes one block of memory and an open file.
+                    block = await asyncio.to_thread(response.file.read, min(remaining, FILE_BLOCK_BYTES))
                     if not block:
-                        raise StreamClosedError()  # cut short on disk: the client sees it break off
-                    left -= len(block)
-                    made.write_pieces([block])
-                    await self._taken(seat)
+                        raise StreamClosedError()  # truncated on disk: the client sees a broken connection
+                    remaining -= len(block)
+                    stream.write_pieces([block])
+                    await self._drain(connection)
             return
-        made.write_pieces([head] if head_only or not response.body else [head, response.body])
-        await self._taken(seat)
+        stream.write_pieces([head] if head_only or not response.body else [head, response.body])
+        await self._drain(connection)
 
-    async def _taken(self, seat: Seat) -> None:
-        """Until the client has taken all of it."""
-        made = seat.made
-        if not made.writing():
+    async def _drain(self, connection: ClientConnection) -> None:
+        """Wait until the client has received all of the response."""
+        stream = connection.stream
+        if not stream.writing():
             return
-        # Backpressure: the next request is not read before this answer has left.
-        seat.unsent = made.unsent_bytes
-        self._unsent += seat.unsent
-        self._slow.add(seat)
+        # Backpressure: the next request is not read before this response is written.
+        connection.unsent_bytes = stream.unsent_bytes
+        self._unsent_bytes += connection.unsent_bytes
+        self._slow_clients.add(connection)
         try:
-            self._shed()
-            await asyncio.wait_for(made.write(b""), WRITE)
+            self._shed_slow_clients()
+            await asyncio.wait_for(stream.write(b""), WRITE_TIMEOUT)
         except TimeoutError:
-            log_line("a repository client does not read its answer: closed")
+            log_line(
+                f"repository: closed the connection of {connection.address}: "
+                f"it did not read its response within {WRITE_TIMEOUT:.0f} s"
+            )
             raise
         finally:
-            self._slow.discard(seat)
-            self._unsent -= seat.unsent
+            self._slow_clients.discard(connection)
+            self._unsent_bytes -= connection.unsent_bytes
 
-    def _shed(self) -> None:
-        """Over the bound, the team that leaves most unread loses its largest answer: never another's."""
-        while self._unsent > UNSENT_MOST and self._slow:
+    def _shed_slow_clients(self) -> None:
+        """Above the limit, the team with the most unsent bytes, and no other, loses its largest response."""
+        while self._unsent_bytes > MAX_UNSENT_BYTES and self._slow_clients:
             by_team: Counter[str] = Counter()
-            for seat in self._slow:
-                by_team[seat.team] += seat.unsent
-            most = by_team.most_common(1)[0][0]
-            slow = max((s for s in self._slow if s.team == most), key=lambda s: s.unsent)
-            log_line("repository clients read too slowly: one is closed")
-            self._slow.discard(slow)
-            self._unsent -= slow.unsent
-            slow.unsent = 0
-            slow.made.close()
+            for connection in self._slow_clients:
+                by_team[connection.team] += connection.unsent_bytes
+            largest_team = by_team.most_common(1)[0][0]
+            slow = max(
+                (c for c in self._slow_clients if c.team == largest_team), key=lambda c: c.unsent_bytes
+            )
+            log_line(
+                f"repository: closed the connection of {slow.address}: "
+                f"more than {MAX_UNSENT_BYTES} bytes are unsent to slow clients"
+            )
+            self._slow_clients.discard(slow)
+            self._unsent_bytes -= slow.unsent_bytes
+            slow.unsent_bytes = 0
+            slow.stream.close()
 
 
 @lru_cache(maxsize=2)
 def _date(second: int) -> str:
-    """The Date field: written once for each second."""
+    """The Date field, formatted once a second."""
     return formatdate(second, usegmt=True)
 
 
-def _form(index: simple.Index, media: str, coding: str) -> tuple[bytes, str]:
+def _render_encoded(index: simple.Index, media: str, coding: str) -> tuple[bytes, str]:
     body = codings.encode(simple.render(index, media), coding)
     return body, hashlib.sha256(body).hexdigest()
 
 
-class _Reader:
-    """Requests off one connection. At most one read runs; it outlives the request it was begun in."""
+class _RequestReader:
+    """Reads requests from one connection. At most one read runs; it may outlive the request that began it."""
 
-    def __init__(self, made: Stream) -> None:
-        self._made = made
+    def __init__(self, stream: Stream) -> None:
+        self._stream = stream
         self._buffer = Buffer(4096)
         self._reading: asyncio.Future[None] | None = None
 
-    def ahead(self) -> asyncio.Future[None]:
-        """The read that runs, else a new one. It shows the client's leaving while an answer is made."""
+    def read_ahead(self) -> asyncio.Future[None]:
+        """The running read, else a new one. It detects a disconnect while a response is being prepared."""
         if self._reading is None or self._reading.done():
-            self._reading = asyncio.ensure_future(self._buffer.fill(self._made, 2048))
+            self._reading = asyncio.ensure_future(self._buffer.fill(self._stream, 2048))
             self._reading.add_done_callback(lambda done: done.cancelled() or done.exception())
         return self._reading
 
-    async def head(self, within: float) -> Head:
-        """The next request's head; TimeoutError if it is not whole in so many seconds."""
+    async def head(self, timeout: float) -> Head:
+        """The next request's head; TimeoutError if it is not complete within ``timeout`` seconds."""
         clock = asyncio.get_running_loop().time
-        until = clock() + within
+        deadline = clock() + timeout
         while True:
-            # Nothing is taken out of the buffer while a read writes into it.
+            # Nothing is removed from the buffer while a read writes into it.
             if self._reading is None or self._reading.done():
                 head = decode_request_head(self._buffer.data, self._buffer.filled)
                 if head is not None:
@@ -657,9 +712,9 @@
                 if self._reading is not None and self._reading.exception() is not None:
                     self._reading.result()
                 self._reading = None
-                # Not a task of its own: most heads are there at once.
-                await self._buffer.fill(self._made, 2048, until - clock())
+                # Not a separate task: most heads have arrived already.
+                await self._buffer.fill(self._stream, 2048, deadline - clock())
             else:
-                await asyncio.wait((self._reading,), timeout=max(0.0, until - clock()))
+                await asyncio.wait((self._reading,), timeout=max(0.0, deadline - clock()))
                 if not self._reading.done():
                     raise TimeoutError
--- a/hallproxy/repository/rejection.py
+++ b/hallproxy/repository/rejection.py
@@ -1,7 +1,7 @@
-"""Rejection of a connection at a small part of a response's cost: no stream, no task, ready-made bytes.
+"""Rejection of a connection at a small part of a response's cost: no stream, no task, prepared bytes.
 
-The response goes out once the request has come, or a little later without it: closing a socket with unread
-bytes resets it, and the client would see a broken connection in place of its Retry-After.
+The response is sent once the request has arrived, or after a timeout without it: closing a socket with unread
+bytes resets it, and the client would see a broken connection instead of the Retry-After.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 REQUEST_WAIT = 0.5  # s for the request's first bytes
-MAX_WAITING = 256  # sockets whose request has not come; beyond that a connection is answered at once
+MAX_WAITING = 256  # sockets whose request has not arrived; further connections are answered at once
 READ_BYTES = 65_536
 BODY = b"the gateway has no room for it now\n"
 _FIELDS = b"Content-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\nRetry-After: 1\r\n"
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _WaitingSocket:
-    """A socket whose request has not come, and the timer that ends the wait."""
+    """A socket whose request has not arrived, and the timer that ends the wait."""
 
     sock: socket.socket
     timer: asyncio.TimerHandle
@@ -43,13 +43,14 @@
         self.count = 0
         self._waiting: dict[int, _WaitingSocket] = {}  # by file descriptor
 
-    def reject(self, sock: socket.socket, plain: bool = True) -> None:
-        """Answer and close the connection, now or once its request has come.
+    def reject(self, sock: socket.socket, plaintext: bool = True) -> None:
+        """Answer and close the connection, now or once its request has arrived.
 
-        ``plain`` False: the listener speaks TLS, and a handshake would cost more than the response: closed.
+        ``plaintext`` False: a TLS listener's connection is closed without a response, as a handshake would
+        cost more than the response.
         """
         self.count += 1
-        if not plain:
+        if not plaintext:
             sock.close()
             return
         sock.setblocking(False)
@@ -89,6 +90,6 @@
         sock.close()
 
     def close(self) -> None:
-        """Answer and close every connection that waits."""
+        """Answer and close every waiting connection."""
         for descriptor in list(self._waiting):
             self._end(descriptor)
--- a/hallproxy/repository/serve.py
+++ b/hallproxy/repository/serve.py
@@ -1,4 +1,4 @@
-"""The second front's start and stop."""
+"""Start, reload and shutdown of the second front."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from hallproxy.files.file_table import FileTable
 from hallproxy.files.spool import DownloadSpool
 from hallproxy.repository.config import RepositoryConfig, load
-from hallproxy.repository.front import Repository
-from hallproxy.repository.simple import Upstream
+from hallproxy.repository.front import RepositoryFront
+from hallproxy.repository.simple import UpstreamCodec
 from hallproxy.run.change_log_poller import Poller
 from hallproxy.run.config import ConfigError
 from hallproxy.run.contracts import AppliedContracts, ContractError, applied_contracts, read_applied
@@ -33,108 +33,122 @@
 from hallproxy.state.model import GatewayState
 from hallproxy.state.units import MB
 
-CONNECTIONS = 256
-SECOND = 1_000_000_000
-LOOK_EVERY = 0.1  # s between looks at the applied contracts
-STOP_IN = 10.0  # s after SIGTERM by which what is open is cut
+MAX_CONNECTIONS = 256
+SECOND = 1_000_000_000  # ns
+CONTRACTS_POLL_INTERVAL = 0.1  # s between checks of the applied contracts
+SHUTDOWN_TIMEOUT = 10.0  # s after SIGTERM until open connections are closed
 
 
-def bounds(config: RepositoryConfig) -> Limits:
+def gateway_limits(config: RepositoryConfig) -> Limits:
     return Limits(
-        connections=CONNECTIONS,
-        # Bodies are taken in whole, so what is open at once bounds the memory they take.
-        requests=CONNECTIONS,
+        connections=MAX_CONNECTIONS,
+        # Bodies are read into memory, so the limit on requests in flight bounds their memory.
+        requests=MAX_CONNECTIONS,
         idle_timeout=config.settings.idle_close or 10 * SECOND,
-        local_cache_bytes=config.copies_most,
+        local_cache_bytes=config.memory_cache_bytes,
         body_bytes=64 * MB,
         small_body_bytes=MB,
-        negative_ttl=config.absent,
+        negative_ttl=config.negative_ttl,
     )
 
 
 def new_state(config: RepositoryConfig) -> GatewayState:
-    state = GatewayState(config.settings, Router(config.settings, secrets.randbits(64)), bounds(config))
+    state = GatewayState(
+        config.settings, Router(config.settings, secrets.randbits(64)), gateway_limits(config)
+    )
     state.strict_purges = state.serves_stale = True
     return state
 
 
-def _members(config: RepositoryConfig, now: int) -> EndpointListUpdated:
-    members = tuple(
+def _endpoint_list(config: RepositoryConfig, now: int) -> EndpointListUpdated:
+    endpoints = tuple(
         i.Endpoint(ident.encode(), i.EndpointState.READY, 0, config.settings.zone)
         for ident, _ in config.upstreams
     )
-    change = i.EndpointsChanged(i.EndpointListKind.FULL, members)
-    return EndpointListUpdated(now, change, tuple(where for _, where in config.upstreams))
+    change = i.EndpointsChanged(i.EndpointListKind.FULL, endpoints)
+    return EndpointListUpdated(
+        now, change, tuple(upstream_address for _, upstream_address in config.upstreams)
+    )
 
 
-def _disk(config: RepositoryConfig, loop: EffectRunner) -> Disk | None:
-    """Files of a former life count from here on, by their names alone; what can't be one of them goes."""
-    if config.files is None:
+def _open_disk_cache(config: RepositoryConfig, runner: EffectRunner) -> Disk | None:
+    """Open the disk cache. Files of an earlier run are recovered by name alone; others are removed."""
+    if config.disk_cache is None:
         return None
     try:
-        disk = Disk(config.files)
+        disk = Disk(config.disk_cache)
     except DiskError as error:
         raise ConfigError(str(error)) from None
-    table = FileTable(config.files_most)
+    table = FileTable(config.disk_cache_bytes)
     for name in table.recover(disk.list()):
         disk.remove(name)
-    loop.state.file_cache = DiskFileCache(loop.state, table, config.files_large)
-    loop.extension_handler = disk.do
-    disk.attach(loop)
-    log_line(f"files: {len(table.sizes)} kept, {table.used_bytes} bytes")
+    runner.state.file_cache = DiskFileCache(runner.state, table, config.large_file_bytes)
+    runner.extension_handler = disk.do
+    disk.attach(runner)
+    log_line(f"files: recovered {len(table.sizes)} cached files, {table.used_bytes} bytes")
     return disk
 
 
 async def serve(path: Path, config: RepositoryConfig, signals: Signals) -> None:
-    loop = EffectRunner(new_state(config))
-    disk = _disk(config, loop)
-    upstream = Upstream(config.file_most, (where for _, where in config.upstreams), config.ways)
-    loop.connections = stores = UpstreamConnections(loop, upstream)
-    loop.dispatch(_members(config, loop.now()))
-    front = Repository(loop, CONNECTIONS, upstream.indexes, config.routes)
-    if disk is not None and config.files is not None:
+    runner = EffectRunner(new_state(config))
+    disk = _open_disk_cache(config, runner)
+    upstream = UpstreamCodec(
+        config.max_file_bytes,
+        (upstream_address for _, upstream_address in config.upstreams),
+        config.upstream_options,
+    )
+    runner.connections = connections = UpstreamConnections(runner, upstream)
+    runner.dispatch(_endpoint_list(config, runner.now()))
+    front = RepositoryFront(runner, MAX_CONNECTIONS, upstream.indexes, config.routes)
+    if disk is not None and config.disk_cache is not None:
         front.open_file = disk.open
-        stores.downloads = DownloadSpool(config.files, config.files_most, config.files_large)
+        connections.downloads = DownloadSpool(
+            config.disk_cache, config.disk_cache_bytes, config.large_file_bytes
+        )
     front.tls = config.tls
-    contracts = Watch(config.contracts, loop, front) if config.contracts is not None else None
+    contracts = ContractsWatcher(config.contracts, runner, front) if config.contracts is not None else None
     if contracts is not None:
-        contracts.look(first=True)
-    tasks = [asyncio.ensure_future(front.watch_lag())]
+        contracts.check(initial=True)
+    tasks = [asyncio.ensure_future(front.measure_lag())]
     if contracts is not None:
         tasks.append(asyncio.ensure_future(contracts.run()))
     poller = None
     if config.changelog is not None:
-        loop.dispatch(WatchCaughtUp(loop.now()))
-        poller = Poller(loop, config.changelog, 0)
+        runner.dispatch(WatchCaughtUp(runner.now()))
+        poller = Poller(runner, config.changelog, 0)
         tasks.append(asyncio.ensure_future(poller.run()))
     host, port = config.listen
-    socks = bind_sockets(port, host, family=socket.AF_INET, backlog=1024)
-    for sock in socks:
-        # A connection is worth looking at once it has said something; a silent one comes a while later.
+    listening_sockets = bind_sockets(port, host, family=socket.AF_INET, backlog=1024)
+    for sock in listening_sockets:
+        # Accept a connection once it has sent data; the system hands over a silent one after a delay.
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_DEFER_ACCEPT, 1)
-    listeners = [Listener(sock, front.accept, front.close_idle) for sock in socks]
+    listeners = [Listener(sock, front.accept, front.close_idle) for sock in listening_sockets]
     gc.collect()
-    gc.freeze()  # what is there at the start is for good: no full collection looks at it again
+    gc.freeze()  # objects of the start live as long as the process: keep them out of full collections
     log_line(f"repository listens on {host}:{listeners[0].sock.getsockname()[1]}")
 
     def reload() -> None:
-        """Take the deploy file as it is now; one that can't be used changes nothing."""
+        """Load and apply the deploy file; one that can't be used changes nothing."""
         new = load(path)
         if [c.name for c in new.settings.classes] != [c.name for c in config.settings.classes]:
-            raise ConfigError("other classes need a restart")
+            raise ConfigError("settings: a change of the classes needs a restart")
         if (new.listen, new.contracts) != (config.listen, config.contracts):
-            raise ConfigError("another address to listen on, or other contracts, need a restart")
+            raise ConfigError("a change of listen or contracts needs a restart")
         if (new.tls is None) != (config.tls is None):
-            raise ConfigError("TLS towards clients where there was none, or none any more, needs a restart")
+            raise ConfigError("adding or removing tls_certificate and tls_key needs a restart")
         if (new.changelog is None) != (poller is None):
-            raise ConfigError("a change log where there was none, or none any more, needs a restart")
-        told = new.files, new.files_most, new.files_large
-        if told != (config.files, config.files_most, config.files_large):
-            raise ConfigError("other files on disk need a restart")
+            raise ConfigError("adding or removing changelog needs a restart")
+        new_cache = new.disk_cache, new.disk_cache_bytes, new.large_file_bytes
+        if new_cache != (config.disk_cache, config.disk_cache_bytes, config.large_file_bytes):
+            raise ConfigError("a change of files needs a restart")
         check_settings(new.settings)
-        upstream.configure(new.file_most, (where for _, where in new.upstreams), new.ways)
-        loop.dispatch(Reconfigured(loop.now(), new.settings, bounds(new)))
-        loop.dispatch(_members(new, loop.now()))
+        upstream.configure(
+            new.max_file_bytes,
+            (upstream_address for _, upstream_address in new.upstreams),
+            new.upstream_options,
+        )
+        runner.dispatch(Reconfigured(runner.now(), new.settings, gateway_limits(new)))
+        runner.dispatch(_endpoint_list(new, runner.now()))
         front.routes = new.routes
         front.tls = new.tls
         if poller is not None and new.changelog is not None:
@@ -144,10 +158,10 @@
     await signals.stopped.wait()
     for listener in listeners:
         listener.close()
-    until = asyncio.get_running_loop().time() + STOP_IN
+    deadline = asyncio.get_running_loop().time() + SHUTDOWN_TIMEOUT
     front.stopping = True
-    # Not the core's requests: between the two that a file takes there is none open.
-    while front.busy and asyncio.get_running_loop().time() < until:
+    # The core's requests don't show it: between the two that a file takes, none is in flight.
+    while front.in_flight_requests and asyncio.get_running_loop().time() < deadline:
         await asyncio.sleep(0.02)
     await front.close()
     if disk is not None:
@@ -156,35 +170,35 @@
         task.cancel()
 
 
-class Watch:
-    """Brings applied contracts into force, at the start and whenever ``apply`` has written them anew."""
+class ContractsWatcher:
+    """Applies the contracts of the state file, at the start and whenever ``apply`` has rewritten it."""
 
-    def __init__(self, path: Path, loop: EffectRunner, front: Repository) -> None:
-        self._path, self._loop, self._front = path, loop, front
-        self._seen: tuple[int, int, int] | None = None
+    def __init__(self, path: Path, runner: EffectRunner, front: RepositoryFront) -> None:
+        self._path, self._runner, self._front = path, runner, front
+        self._version: tuple[int, int, int] | None = None  # modification time (ns), bytes, inode
 
-    def look(self, first: bool = False) -> None:
+    def check(self, initial: bool = False) -> None:
         try:
             stat = self._path.stat()
-            seen = stat.st_mtime_ns, stat.st_size, stat.st_ino
+            version = stat.st_mtime_ns, stat.st_size, stat.st_ino
         except OSError:
-            seen = None
-        if seen == self._seen and not first:
+            version = None
+        if version == self._version and not initial:
             return
-        self._seen = seen
+        self._version = version
         try:
             serial, document = read_applied(self._path)
             applied: AppliedContracts = applied_contracts(document)
         except (ContractError, KeyError, TypeError, AttributeError) as error:
-            if first:
+            if initial:
                 raise
-            log_line(f"contracts stay as they were: {error}")
+            log_line(f"contracts: {self._path} not applied, the current ones stay in force: {error}")
             return
         self._front.applied = applied
-        self._loop.dispatch(ContractsUpdated(self._loop.now(), applied.contracts))
-        log_line(f"contracts: state {serial}, {len(applied.contracts.contracts)} in force")
+        self._runner.dispatch(ContractsUpdated(self._runner.now(), applied.contracts))
+        log_line(f"contracts: applied state {serial}, {len(applied.contracts.contracts)} in force")
 
     async def run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_EVERY)
-            self.look()
+            await asyncio.sleep(CONTRACTS_POLL_INTERVAL)
+            self.check()
--- a/tests/files/test_files.py
+++ b/tests/files/test_files.py
@@ -225,7 +225,7 @@
     ("old", "new", "says"),
     [
         ("most_mb = 4", "most_mb = 0", "most_mb is 0"),
-        ("most_mb = 4\nlarge", "most_mb = 4\nsize = 3\nlarge", "files knows no"),
+        ("most_mb = 4\nlarge", "most_mb = 4\nsize = 3\nlarge", "files: unknown key 'size'"),
         ("large_mb = 1", "large_mb = 17", "large_mb is 17"),
         ('directory = "kept"', "directory = 3", "directory is 3"),
         ('directory = "kept"', 'directory = "r.toml/x"', "can't be used"),
--- a/tests/repository/test_conformance.py
+++ b/tests/repository/test_conformance.py
@@ -143,8 +143,8 @@
         lambda spans: "bytes=" + ",".join(f"{a}-{b}" for a, b in spans)),
 ))  # fmt: skip
 def test_a_range_is_of_bytes_that_exist(size: int, field: str) -> None:
-    part = ranges.wanted(field, size)
-    if isinstance(part, ranges.Part):
+    part = ranges.requested_range(field, size)
+    if isinstance(part, ranges.ByteRange):
         assert 0 <= part.first < part.end <= size == part.size
 
 
@@ -158,7 +158,7 @@
     ],
 )  # fmt: skip
 def test_ranges_that_touch_are_one(field: str, found: tuple[int, int] | None) -> None:
-    part = ranges.wanted(field, 20)
+    part = ranges.requested_range(field, 20)
     assert (None if part is None else (part.first, part.end)) == found  # type: ignore[union-attr]
 
 
@@ -184,28 +184,28 @@
 
 def test_forms_are_kept_within_their_bound(tmp_path: Path) -> None:
     from hallproxy.repository import config, serve
-    from hallproxy.repository.front import MAX_RENDERED_INDEX_BYTES, Repository
+    from hallproxy.repository.front import MAX_RENDERED_INDEX_BYTES, RepositoryFront
     from hallproxy.run.effect_runner import EffectRunner
     from hallproxy.state.events import Response, ResponseKind
 
     (tmp_path / "r.toml").write_text(DEPLOY)
     loop = EffectRunner(serve.new_state(config.load(tmp_path / "r.toml")))
-    made = Repository(loop, 10)
+    made = RepositoryFront(loop, 10)
     index = simple.Index("p", tuple(simple.File(f"f-{n}.whl", "/x", "a" * 64) for n in range(2000)))
     for n in range(200):
         said = Response(ResponseKind.SERVED, etag=str(n), generated_at=1)
-        body, tag = asyncio.run(made._rendered(said, index, simple.JSON, codings.IDENTITY))
-        again = asyncio.run(made._rendered(said, index, simple.JSON, codings.IDENTITY))
+        body, tag = asyncio.run(made._render(said, index, simple.JSON, codings.IDENTITY))
+        again = asyncio.run(made._render(said, index, simple.JSON, codings.IDENTITY))
         assert again[0] is body and len(tag) == 64
-    assert made._forms.currsize <= MAX_RENDERED_INDEX_BYTES
+    assert made._rendered_indexes.currsize <= MAX_RENDERED_INDEX_BYTES
 
 
 def test_a_large_index_reads_as_a_small_one_does() -> None:
     """Large ones are read element by element, so that nothing else waits for one long call."""
     files = [dict(ENTRIES[0], filename=f"f-{n}.whl", url=f"/pool/f-{n}.whl") for n in range(900)]
     body = json.dumps({**TOP, "files": files}, indent=1).encode()
-    assert len(body) > simple.LARGE
-    assert simple._loads(body) == json.loads(body)
+    assert len(body) > simple.LARGE_INDEX_BYTES
+    assert simple._load_json(body) == json.loads(body)
     index = simple.read_index(body, simple.JSON, f"/simple/{PROJECT}/")
     assert len(index.files) == 900 and index.file("f-899.whl") == index.files[-1]
     assert json.loads(simple.pack_index(index))["files"][0]["url"] == "/pool/f-0.whl"
@@ -216,17 +216,17 @@
     ["", "{", "[]", '{"a": [1,]}', '{"a": 1,}', '{"a" 1}', '{"a": [1 2]}', '{"a": 1} x', '{"a": [1', "null"],
 )
 def test_a_large_text_that_is_no_object_is_an_error(text: str) -> None:
-    padded = text.encode() + b" " * simple.LARGE
+    padded = text.encode() + b" " * simple.LARGE_INDEX_BYTES
     with pytest.raises(ValueError):
-        simple._loads(padded)
+        simple._load_json(padded)
     with pytest.raises(simple.BadIndex):
         simple.read_index(padded, simple.JSON, f"/simple/{PROJECT}/")
 
 
 def test_what_is_remembered_of_indexes_is_bounded() -> None:
-    held = simple.Remembered(most=1000)
+    held = simple.IndexCache(max_entries=1000)
     for n in range(50):
         held.put(str(n), simple.Index("p", tuple(simple.File(f"{m}", "/x", "a" * 64) for m in range(99))))
-    assert held.get("49") is not None and held.get("0") is None and len(held._held) == 10
+    assert held.get("49") is not None and held.get("0") is None and len(held._indexes) == 10
     held.put("large", simple.Index("p", tuple(simple.File(f"{m}", "/x", "a" * 64) for m in range(2000))))
-    assert len(held._held) == 1  # one that is larger than the bound is still held alone
+    assert len(held._indexes) == 1  # one that is larger than the bound is still held alone
--- a/tests/repository/test_simple.py
+++ b/tests/repository/test_simple.py
@@ -12,18 +12,18 @@
 @pytest.mark.parametrize(
     ("target", "wanted"),
     [
-        ("/simple/", simple.Wanted()),
-        ("/simple/a-b/", simple.Wanted("a-b")),
-        ("/simple/A_b", simple.Wanted("a-b", moved="/simple/a-b/")),
-        (f"/files/a/{SHA}/a-1.0.tar.gz", simple.Wanted("a", SHA, "a-1.0.tar.gz")),
+        ("/simple/", simple.Target()),
+        ("/simple/a-b/", simple.Target("a-b")),
+        ("/simple/A_b", simple.Target("a-b", redirect_path="/simple/a-b/")),
+        (f"/files/a/{SHA}/a-1.0.tar.gz", simple.Target("a", SHA, "a-1.0.tar.gz")),
         (f"/files/a/{SHA}/..%2fx", None),
         ("/files/a/short/a.whl", None),
         ("/simple/../etc", None),
         ("/", None),
     ],
 )
-def test_targets(target: str, wanted: simple.Wanted | None) -> None:
-    assert simple.read_target(target) == wanted
+def test_targets(target: str, wanted: simple.Target | None) -> None:
+    assert simple.parse_target(target) == wanted
 
 
 @pytest.mark.parametrize(
@@ -39,7 +39,7 @@
     ],
 )
 def test_negotiation(accept: str, media: str | None) -> None:
-    assert simple.choose(accept) == media
+    assert simple.choose_media_type(accept) == media
 
 
 FILE = simple.File("a-1.whl", "/p/a-1.whl", SHA, ">=3.8", "broken", None)
--- a/tests/repository/test_upstream_options.py
+++ b/tests/repository/test_upstream_options.py
@@ -32,10 +32,12 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("UPSTREAM_SECRET", SECRET)
-    way = load(_file(tmp_path, 'credentials = "UPSTREAM_SECRET"\nprefix = "/pypi/"\n')).ways["127.0.0.1:8082"]
+    way = load(_file(tmp_path, 'credentials = "UPSTREAM_SECRET"\nprefix = "/pypi/"\n')).upstream_options[
+        "127.0.0.1:8082"
+    ]
     assert way.authorization == TOLD and way.prefix == "/pypi" and "s3cr3t" not in repr(way)
     monkeypatch.setenv("UPSTREAM_SECRET", "just-a-token")
-    way = load(_file(tmp_path, 'credentials = "UPSTREAM_SECRET"\n')).ways["127.0.0.1:8082"]
+    way = load(_file(tmp_path, 'credentials = "UPSTREAM_SECRET"\n')).upstream_options["127.0.0.1:8082"]
     assert way.authorization == "Bearer just-a-token" and way.prefix == ""
 
 
@@ -43,9 +45,9 @@
     ("upstream", "words"),
     [
         ('credentials = "NOT_SET_HERE"\n', "NOT_SET_HERE is unset"),
-        ('prefix = "no-slash"\n', "is no path"),
-        ('prefix = "/a b"\n', "is no path"),
-        ('password = "x"\n', "knows no 'password'"),
+        ('prefix = "no-slash"\n', "'no-slash' is not a path"),
+        ('prefix = "/a b"\n', "'/a b' is not a path"),
+        ('password = "x"\n', "upstream 'repository-1': unknown key 'password'"),
     ],
 )
 def test_an_upstream_that_can_not_be_spoken_to_is_one_line(tmp_path: Path, upstream: str, words: str) -> None:
@@ -55,8 +57,8 @@
 
 
 def test_indexes_go_under_the_prefix_and_files_by_the_path_their_index_named() -> None:
-    way = simple.Way("/pypi", TOLD)
-    upstream = simple.Upstream(1 << 20, ["127.0.0.1:9"], {"127.0.0.1:9": way})
+    way = simple.UpstreamOptions("/pypi", TOLD)
+    upstream = simple.UpstreamCodec(1 << 20, ["127.0.0.1:9"], {"127.0.0.1:9": way})
     index = UpstreamRequest("", 0, f"/simple/{PROJECT}/", 0, 1)
     head = upstream.head(index, "127.0.0.1:9").decode()
     assert (
--- a/tests/repository/test_upstream_tls.py
+++ b/tests/repository/test_upstream_tls.py
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize(
     ("lines", "words"),
     [
-        ('tls = "yes"\n', "not true or false"),
+        ('tls = "yes"\n', "'yes'; true or false is accepted"),
         ('tls = true\nca = "nowhere.pem"\n', "can't be used"),
         ('tls = true\nca = "bad.pem"\n', "can't be used"),
         ('ca = "bad.pem"\n', "need tls = true"),
@@ -153,7 +153,7 @@
 @pytest.mark.parametrize(
     ("lines", "words"),
     [
-        ('tls_certificate = "server.pem"\n', "go together"),
+        ('tls_certificate = "server.pem"\n', "are needed together"),
         ('tls_certificate = "server.pem"\ntls_key = "nowhere.key"\n', "nowhere.key"),
     ],
 )
