--- a/hallproxy/repository/config.py
+++ b/hallproxy/repository/config.py
@@ -32,7 +32,7 @@
     negative_ttl: int  # ns for which "not found" is cached
     disk_cache: Path | None  # the directory; None: no files are cached on disk
     disk_cache_bytes: int
-    large_file_bytes: int  # from which a file is never cached in memory
+    large_file_bytes: int  # from which a file is never held in memory
     upstreams: tuple[tuple[str, str], ...]  # id, address
     settings: i.Settings
     routes: Routes
--- a/hallproxy/repository/ranges.py
+++ b/hallproxy/repository/ranges.py
@@ -34,8 +34,8 @@
 def requested_range(field: str, size: int) -> ByteRange | Unsatisfiable | None:
     """The range that a Range field requests; None: the complete representation.
 
-    A field that is no byte range, or requests several, is ignored, as section 14.2 lets a server do: many
-    small ranges would cost more than the complete body. Ranges that overlap or adjoin are merged.
+    A field that is no byte range, or requests disjoint ranges, is ignored, as section 14.2 lets a server do:
+    many small ranges would cost more than the complete body. Ranges that overlap or adjoin are merged.
     """
     found = _RANGE.fullmatch(field.strip())
     if found is None:
--- a/hallproxy/repository/simple.py
+++ b/hallproxy/repository/simple.py
@@ -556,7 +556,7 @@
         )
 
 
-DEFAULT_OPTIONS = UpstreamOptions()
+DEFAULT_UPSTREAM_OPTIONS = UpstreamOptions()
 
 
 class UpstreamCodec:
@@ -579,7 +579,7 @@
         self._options = dict(options or {})
 
     def head(self, request: UpstreamRequest, host: str) -> bytes:
-        upstream_options = self._options.get(host, DEFAULT_OPTIONS)
+        upstream_options = self._options.get(host, DEFAULT_UPSTREAM_OPTIONS)
         # An index is requested by its own path under the prefix; a file by the path that its index lists.
         path = request.name if request.digest else upstream_options.prefix + request.name
         lines = [
@@ -602,7 +602,7 @@
 
     def tls(self, host: str) -> tuple[ssl.SSLContext, str] | None:
         """The TLS context for ``host``, and the name expected in its certificate; None: plain HTTP."""
-        upstream_options = self._options.get(host, DEFAULT_OPTIONS)
+        upstream_options = self._options.get(host, DEFAULT_UPSTREAM_OPTIONS)
         if upstream_options.tls is None:
             return None
         return upstream_options.tls, upstream_options.server_name or host.rsplit(":", 1)[0]
@@ -631,7 +631,11 @@
         try:
             media = head.fields.get("content-type", PLAIN_HTML)
             index = read_index(
-                body, media, request.name, self._hosts, self._options.get(host, DEFAULT_OPTIONS).prefix
+                body,
+                media,
+                request.name,
+                self._hosts,
+                self._options.get(host, DEFAULT_UPSTREAM_OPTIONS).prefix,
             )
         except BadIndex:
             return AttemptResult(i.AttemptStatus.ERROR, reason=FailureReason.ERROR)
--- a/tests/repository/test_conformance.py
+++ b/tests/repository/test_conformance.py
@@ -1,4 +1,4 @@
-"""The conformance suite against the second front, and the pure parts of what it asks: ranges and codings."""
+"""The conformance suite against the second front; tests of ranges, codings and index decoding."""
 
 from __future__ import annotations
 
@@ -59,43 +59,45 @@
     return "\n".join(lines).encode()
 
 
-def upstream(seen: ReceivedRequest, top: dict[str, Any], form: str) -> bytes | None:
-    name = seen.path.rsplit("/", 1)[1]
-    if seen.path == f"/simple/{PROJECT}/":
-        if form == "html":
+def upstream_reply(request: ReceivedRequest, top: dict[str, Any], index_format: str) -> bytes | None:
+    name = request.path.rsplit("/", 1)[1]
+    if request.path == f"/simple/{PROJECT}/":
+        if index_format == "html":
             return response(200, as_html(), Content_Type="text/html")
         return response(200, json.dumps(top).encode(), Content_Type=simple.JSON)
-    if seen.path == f"/pool/{WHEEL}.metadata":
+    if request.path == f"/pool/{WHEEL}.metadata":
         return response(200, METADATA)
-    if seen.path.startswith("/pool/") and name in BODIES:
+    if request.path.startswith("/pool/") and name in BODIES:
         return response(200, BODIES[name])
     return b"pass"
 
 
-@pytest.mark.parametrize("form", ["json", "html"])
-def test_every_point_holds(front: Front, form: str) -> None:
-    front.upstreams[0].hook = lambda seen: upstream(seen, TOP, form)
+@pytest.mark.parametrize("index_format", ["json", "html"])
+def test_every_point_holds(front: Front, index_format: str) -> None:
+    front.upstreams[0].hook = lambda request: upstream_reply(request, TOP, index_format)
     front.start()
     lines = conformance.run(conformance.Asker("127.0.0.1", front.program.port, PROJECT))
     assert not [line for line in lines if line.verdict == "failed"], lines
     skipped = {line.point.section for line in lines if line.verdict == "skipped"}
-    # An index in HTML tells no versions, sizes and upload times: nothing of that is made up.
-    assert skipped == (set() if form == "json" else {"PEP 700"})
+    # An HTML index has no versions, sizes and upload times, and the front invents none.
+    assert skipped == (set() if index_format == "json" else {"PEP 700"})
     assert len(lines) >= 30
 
 
-def test_the_report_tells_a_repository_that_does_not_hold(front: Front, capsys: Any) -> None:
-    """A suite that can't fail would prove nothing: a project that is not there fails nearly all."""
+def test_the_report_lists_each_failed_point(front: Front, capsys: Any) -> None:
+    """Guards against a suite that can't fail: with a missing project nearly every point fails."""
     front.start()
     at = f"127.0.0.1:{front.program.port}"
     assert conformance.main(["--at", at, "--project", "not-there"]) == 1
-    said = capsys.readouterr().out
-    assert "failed  " in said and said.count("\n") == len(conformance.POINTS) + 1
+    output = capsys.readouterr().out
+    assert "failed  " in output and output.count("\n") == len(conformance.POINTS) + 1
 
 
-def test_metadata_that_does_not_match_is_never_served(front: Front) -> None:
-    front.upstreams[0].hook = lambda seen: (
-        response(200, b"other bytes") if seen.path.endswith(".metadata") else upstream(seen, TOP, "json")
+def test_metadata_with_another_digest_is_never_served(front: Front) -> None:
+    front.upstreams[0].hook = lambda request: (
+        response(200, b"other bytes")
+        if request.path.endswith(".metadata")
+        else upstream_reply(request, TOP, "json")
     )
     front.start()
     url = front.file_urls()[WHEEL]
@@ -107,11 +109,11 @@
 @pytest.mark.parametrize(
     ("status", "names"), [("quarantined", 0), ("archived", 2), ("something else", 2), (None, 2)]
 )
-def test_a_quarantined_project_offers_no_file(front: Front, status: str | None, names: int) -> None:
+def test_a_quarantined_project_serves_no_file(front: Front, status: str | None, names: int) -> None:
     top = {k: v for k, v in TOP.items() if k != "project-status"}
     if status:
         top["project-status"] = {"status": status}
-    front.upstreams[0].hook = lambda seen: upstream(seen, top, "json")
+    front.upstreams[0].hook = lambda request: upstream_reply(request, top, "json")
     front.start()
     got = json.loads(front.get(f"/simple/{PROJECT}/", Accept=simple.JSON).body)
     assert len(got["files"]) == names
@@ -123,13 +125,13 @@
 
 
 @pytest.mark.parametrize("version", ["2.0", "0.9", "x", "1.x"])
-def test_another_major_version_upstream_is_not_read(version: str) -> None:
+def test_an_upstream_index_of_another_major_version_is_rejected(version: str) -> None:
     body = json.dumps({**TOP, "meta": {"api-version": version}}).encode()
     with pytest.raises(simple.BadIndex):
         simple.read_index(body, simple.JSON, f"/simple/{PROJECT}/")
 
 
-def test_a_later_minor_version_is_served_as_the_highest_spoken() -> None:
+def test_a_later_minor_version_is_served_as_the_highest_supported() -> None:
     body = json.dumps({**TOP, "meta": {"api-version": "1.9"}}).encode()
     index = simple.read_index(body, simple.JSON, f"/simple/{PROJECT}/")
     assert json.loads(simple.render(index, simple.JSON))["meta"]["api-version"] == "1.4"
@@ -142,10 +144,10 @@
     st.lists(st.tuples(st.integers(0, 1200), st.integers(0, 1200)), min_size=1, max_size=4).map(
         lambda spans: "bytes=" + ",".join(f"{a}-{b}" for a, b in spans)),
 ))  # fmt: skip
-def test_a_range_is_of_bytes_that_exist(size: int, field: str) -> None:
-    part = ranges.requested_range(field, size)
-    if isinstance(part, ranges.ByteRange):
-        assert 0 <= part.first < part.end <= size == part.size
+def test_a_range_is_within_the_body(size: int, field: str) -> None:
+    byte_range = ranges.requested_range(field, size)
+    if isinstance(byte_range, ranges.ByteRange):
+        assert 0 <= byte_range.first < byte_range.end <= size == byte_range.size
 
 
 @pytest.mark.parametrize(
@@ -157,9 +159,9 @@
         ("bytes=99999999999999999999-", None),
     ],
 )  # fmt: skip
-def test_ranges_that_touch_are_one(field: str, found: tuple[int, int] | None) -> None:
-    part = ranges.requested_range(field, 20)
-    assert (None if part is None else (part.first, part.end)) == found  # type: ignore[union-attr]
+def test_overlapping_and_adjoining_ranges_are_merged(field: str, found: tuple[int, int] | None) -> None:
+    byte_range = ranges.requested_range(field, 20)
+    assert (None if byte_range is None else (byte_range.first, byte_range.end)) == found  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize(
@@ -171,37 +173,37 @@
         ("identity;q=0", None), ("identity;q=0, gzip", "gzip"), ("deflate, gzip;q=1.0, *;q=0.5", "gzip"),
     ],
 )  # fmt: skip
-def test_codings(field: str | None, coding: str | None) -> None:
+def test_content_coding_negotiation(field: str | None, coding: str | None) -> None:
     assert codings.choose(field) == coding
 
 
 @given(st.binary(max_size=2000))
-def test_gzip_gives_the_same_bytes_each_time(body: bytes) -> None:
+def test_gzip_is_deterministic(body: bytes) -> None:
     coded = codings.encode(body, codings.GZIP)
     assert coded == codings.encode(body, codings.GZIP) and gzip.decompress(coded) == body
     assert hashlib.sha256(coded).digest() == hashlib.sha256(codings.encode(body, codings.GZIP)).digest()
 
 
-def test_forms_are_kept_within_their_bound(tmp_path: Path) -> None:
+def test_the_cache_of_rendered_indexes_is_bounded(tmp_path: Path) -> None:
     from hallproxy.repository import config, serve
     from hallproxy.repository.front import MAX_RENDERED_INDEX_BYTES, RepositoryFront
     from hallproxy.run.effect_runner import EffectRunner
     from hallproxy.state.events import Response, ResponseKind
 
     (tmp_path / "r.toml").write_text(DEPLOY)
-    loop = EffectRunner(serve.new_state(config.load(tmp_path / "r.toml")))
-    made = RepositoryFront(loop, 10)
+    runner = EffectRunner(serve.new_state(config.load(tmp_path / "r.toml")))
+    front = RepositoryFront(runner, 10)
     index = simple.Index("p", tuple(simple.File(f"f-{n}.whl", "/x", "a" * 64) for n in range(2000)))
     for n in range(200):
-        said = Response(ResponseKind.SERVED, etag=str(n), generated_at=1)
-        body, tag = asyncio.run(made._render(said, index, simple.JSON, codings.IDENTITY))
-        again = asyncio.run(made._render(said, index, simple.JSON, codings.IDENTITY))
+        core_response = Response(ResponseKind.SERVED, etag=str(n), generated_at=1)
+        body, tag = asyncio.run(front._render(core_response, index, simple.JSON, codings.IDENTITY))
+        again = asyncio.run(front._render(core_response, index, simple.JSON, codings.IDENTITY))
         assert again[0] is body and len(tag) == 64
-    assert made._rendered_indexes.currsize <= MAX_RENDERED_INDEX_BYTES
+    assert front._rendered_indexes.currsize <= MAX_RENDERED_INDEX_BYTES
 
 
-def test_a_large_index_reads_as_a_small_one_does() -> None:
-    """Large ones are read element by element, so that nothing else waits for one long call."""
+def test_a_large_index_is_decoded_like_a_small_one() -> None:
+    """Large ones are decoded element by element, so that one long call does not block other threads."""
     files = [dict(ENTRIES[0], filename=f"f-{n}.whl", url=f"/pool/f-{n}.whl") for n in range(900)]
     body = json.dumps({**TOP, "files": files}, indent=1).encode()
     assert len(body) > simple.LARGE_INDEX_BYTES
@@ -215,7 +217,7 @@
     "text",
     ["", "{", "[]", '{"a": [1,]}', '{"a": 1,}', '{"a" 1}', '{"a": [1 2]}', '{"a": 1} x', '{"a": [1', "null"],
 )
-def test_a_large_text_that_is_no_object_is_an_error(text: str) -> None:
+def test_a_large_text_that_is_no_json_object_is_an_error(text: str) -> None:
     padded = text.encode() + b" " * simple.LARGE_INDEX_BYTES
     with pytest.raises(ValueError):
         simple._load_json(padded)
@@ -223,10 +225,10 @@
         simple.read_index(padded, simple.JSON, f"/simple/{PROJECT}/")
 
 
-def test_what_is_remembered_of_indexes_is_bounded() -> None:
-    held = simple.IndexCache(max_entries=1000)
+def test_the_index_cache_is_bounded() -> None:
+    cache = simple.IndexCache(max_entries=1000)
     for n in range(50):
-        held.put(str(n), simple.Index("p", tuple(simple.File(f"{m}", "/x", "a" * 64) for m in range(99))))
-    assert held.get("49") is not None and held.get("0") is None and len(held._indexes) == 10
-    held.put("large", simple.Index("p", tuple(simple.File(f"{m}", "/x", "a" * 64) for m in range(2000))))
-    assert len(held._indexes) == 1  # one that is larger than the bound is still held alone
+        cache.put(str(n), simple.Index("p", tuple(simple.File(f"{m}", "/x", "a" * 64) for m in range(99))))
+    assert cache.get("49") is not None and cache.get("0") is None and len(cache._indexes) == 10
+    cache.put("large", simple.Index("p", tuple(simple.File(f"{m}", "/x", "a" * 64) for m in range(2000))))
+    assert len(cache._indexes) == 1  # an index above the limit is still cached, alone
--- a/tests/repository/test_simple.py
+++ b/tests/repository/test_simple.py
@@ -1,4 +1,4 @@
-"""The repository's targets, negotiation and indexes against tables of cases."""
+"""Request targets, media type negotiation and index decoding."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("target", "wanted"),
+    ("target", "expected"),
     [
         ("/simple/", simple.Target()),
         ("/simple/a-b/", simple.Target("a-b")),
@@ -22,8 +22,8 @@
         ("/", None),
     ],
 )
-def test_targets(target: str, wanted: simple.Target | None) -> None:
-    assert simple.parse_target(target) == wanted
+def test_targets(target: str, expected: simple.Target | None) -> None:
+    assert simple.parse_target(target) == expected
 
 
 @pytest.mark.parametrize(
@@ -38,7 +38,7 @@
         ("image/png", None),
     ],
 )
-def test_negotiation(accept: str, media: str | None) -> None:
+def test_media_type_negotiation(accept: str, media: str | None) -> None:
     assert simple.choose_media_type(accept) == media
 
 
@@ -48,7 +48,7 @@
  <a href="http://elsewhere/p/b.whl#sha256={SHA}">b.whl</a></body></html>"""
 
 
-def test_indexes_in_both_forms_mean_the_same() -> None:
+def test_indexes_of_both_formats_are_equivalent() -> None:
     index = simple.read_index(PAGE.encode(), "text/html; charset=utf-8", "/simple/A/", ())
     assert index == simple.Index("a", (FILE,))
     assert simple.unpack_index(simple.pack_index(index), "a") == index
@@ -57,6 +57,6 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b'{"meta":{"api-version":"2.0"},"files":[]}', b'{"files":1}'])
-def test_bad_indexes(body: bytes) -> None:
+def test_invalid_indexes_are_rejected(body: bytes) -> None:
     with pytest.raises(simple.BadIndex):
         simple.read_index(body, simple.JSON, "/simple/a/")
--- a/tests/repository/test_upstream_options.py
+++ b/tests/repository/test_upstream_options.py
@@ -1,4 +1,4 @@
-"""Upstreams under a path prefix and behind credentials: asked as they need, and the secret never leaks."""
+"""Upstreams with a path prefix and credentials: requests carry both, and the secret never leaks."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.support.repository_front import DEPLOY, PROJECT, Front, RepositoryStandIn, sha256_hex
 
 SECRET = "stations:s3cr3t-value"
-TOLD = "Basic " + base64.b64encode(SECRET.encode()).decode()
+AUTHORIZATION = "Basic " + base64.b64encode(SECRET.encode()).decode()
 
 
 def _file(tmp_path: Path, upstream: str) -> Path:
@@ -32,17 +32,19 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("UPSTREAM_SECRET", SECRET)
-    way = load(_file(tmp_path, 'credentials = "UPSTREAM_SECRET"\nprefix = "/pypi/"\n')).upstream_options[
+    options = load(_file(tmp_path, 'credentials = "UPSTREAM_SECRET"\nprefix = "/pypi/"\n')).upstream_options[
         "127.0.0.1:8082"
     ]
-    assert way.authorization == TOLD and way.prefix == "/pypi" and "s3cr3t" not in repr(way)
+    assert (
+        options.authorization == AUTHORIZATION and options.prefix == "/pypi" and "s3cr3t" not in repr(options)
+    )
     monkeypatch.setenv("UPSTREAM_SECRET", "just-a-token")
-    way = load(_file(tmp_path, 'credentials = "UPSTREAM_SECRET"\n')).upstream_options["127.0.0.1:8082"]
-    assert way.authorization == "Bearer just-a-token" and way.prefix == ""
+    options = load(_file(tmp_path, 'credentials = "UPSTREAM_SECRET"\n')).upstream_options["127.0.0.1:8082"]
+    assert options.authorization == "Bearer just-a-token" and options.prefix == ""
 
 
 @pytest.mark.parametrize(
-    ("upstream", "words"),
+    ("upstream", "message"),
     [
         ('credentials = "NOT_SET_HERE"\n', "NOT_SET_HERE is unset"),
         ('prefix = "no-slash"\n', "'no-slash' is not a path"),
@@ -50,19 +52,20 @@
         ('password = "x"\n', "upstream 'repository-1': unknown key 'password'"),
     ],
 )
-def test_an_upstream_that_can_not_be_spoken_to_is_one_line(tmp_path: Path, upstream: str, words: str) -> None:
-    with pytest.raises(ConfigError, match=words) as caught:
+def test_invalid_upstream_options_are_one_line(tmp_path: Path, upstream: str, message: str) -> None:
+    with pytest.raises(ConfigError, match=message) as caught:
         load(_file(tmp_path, upstream))
     assert "\n" not in str(caught.value)
 
 
-def test_indexes_go_under_the_prefix_and_files_by_the_path_their_index_named() -> None:
-    way = simple.UpstreamOptions("/pypi", TOLD)
-    upstream = simple.UpstreamCodec(1 << 20, ["127.0.0.1:9"], {"127.0.0.1:9": way})
+def test_indexes_are_requested_under_the_prefix_and_files_by_their_listed_path() -> None:
+    options = simple.UpstreamOptions("/pypi", AUTHORIZATION)
+    upstream = simple.UpstreamCodec(1 << 20, ["127.0.0.1:9"], {"127.0.0.1:9": options})
     index = UpstreamRequest("", 0, f"/simple/{PROJECT}/", 0, 1)
     head = upstream.head(index, "127.0.0.1:9").decode()
     assert (
-        head.startswith(f"GET /pypi/simple/{PROJECT}/ HTTP/1.1\r\n") and f"Authorization: {TOLD}\r\n" in head
+        head.startswith(f"GET /pypi/simple/{PROJECT}/ HTTP/1.1\r\n")
+        and f"Authorization: {AUTHORIZATION}\r\n" in head
     )
     file = UpstreamRequest("", 1, "/pypi/pool/a-1.whl", 0, 1, digest="ab" * 32)
     assert upstream.head(file, "127.0.0.1:9").startswith(b"GET /pypi/pool/a-1.whl ")
@@ -77,26 +80,26 @@
     assert listing.project == ""
 
 
-def _guarded(stand: RepositoryStandIn, prefix: str) -> None:
-    """The stand answers only under ``prefix``, only to the right credentials, with relative links."""
+def _require_credentials(stand_in: RepositoryStandIn, prefix: str) -> None:
+    """The stand-in answers only under ``prefix``, only to the right credentials, with relative links."""
 
-    def hook(seen: ReceivedRequest) -> bytes | None:
-        if seen.fields.get("authorization") != TOLD:
+    def hook(request: ReceivedRequest) -> bytes | None:
+        if request.fields.get("authorization") != AUTHORIZATION:
             return response(401, b"who are you", WWW_Authenticate='Basic realm="r"')
-        if not seen.path.startswith(prefix + "/"):
+        if not request.path.startswith(prefix + "/"):
             return response(404)
-        path = seen.path.removeprefix(prefix)
+        path = request.path.removeprefix(prefix)
         if path == f"/simple/{PROJECT}/":
             files = [{"filename": n, "url": f"../../pool/{n}", "hashes": {"sha256": sha256_hex(b)}}
-                     for n, b in stand.files.items()]  # fmt: skip
+                     for n, b in stand_in.files.items()]  # fmt: skip
             body = json.dumps({"meta": {"api-version": "1.0"}, "name": PROJECT, "files": files}).encode()
             return response(200, body, Content_Type=simple.JSON)
         name = path.rsplit("/", 1)[1]
-        if path.startswith("/pool/") and name in stand.files:
-            return response(200, stand.files[name])
+        if path.startswith("/pool/") and name in stand_in.files:
+            return response(200, stand_in.files[name])
         return response(404)
 
-    stand.hook = hook
+    stand_in.hook = hook
 
 
 def _start(front: Front, monkeypatch: pytest.MonkeyPatch, secret: str) -> None:
@@ -111,25 +114,27 @@
 def test_an_upstream_under_a_prefix_and_behind_credentials_is_served(
     front: Front, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    stand = front.upstreams[0]
-    _guarded(stand, "/pypi")
+    stand_in = front.upstreams[0]
+    _require_credentials(stand_in, "/pypi")
     _start(front, monkeypatch, SECRET)
     for name, url in front.file_urls().items():
         got = front.get(url)
-        assert got.status == 200 and got.body == stand.files[name]
+        assert got.status == 200 and got.body == stand_in.files[name]
         assert "s3cr3t" not in json.dumps(got.fields)
-    assert stand.http.requests and all(s.fields.get("authorization") == TOLD for s in stand.http.requests)
-    assert {s.path for s in stand.http.requests} >= {f"/pypi/simple/{PROJECT}/", "/pypi/pool/a-1.whl"}
+    assert stand_in.http.requests and all(
+        s.fields.get("authorization") == AUTHORIZATION for s in stand_in.http.requests
+    )
+    assert {s.path for s in stand_in.http.requests} >= {f"/pypi/simple/{PROJECT}/", "/pypi/pool/a-1.whl"}
 
 
-def test_credentials_that_are_refused_are_an_error_and_never_told(
+def test_rejected_credentials_are_an_error_and_never_disclosed(
     front: Front, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    _guarded(front.upstreams[0], "/pypi")
+    _require_credentials(front.upstreams[0], "/pypi")
     _start(front, monkeypatch, "stations:wrong")
     got = front.get(f"/simple/{PROJECT}/", Accept=simple.JSON)
     assert got.status == 502 and b"wrong" not in got.body and "wrong" not in json.dumps(got.fields)
     assert not [line for line in front.program.lines if "wrong" in line or "d3Jvbmc" in line]
     front.get(f"/simple/{PROJECT}/", Accept=simple.JSON)
-    told = until(lambda: [line for line in front.program.lines if "refuses who asks (401)" in line])
-    assert len(told) == 1  # once for the change, not for each request
+    logged = until(lambda: [line for line in front.program.lines if "refuses who asks (401)" in line])
+    assert len(logged) == 1  # logged at the change, not for each request
