--- a/hallproxy/repository/simple.py
+++ b/hallproxy/repository/simple.py
@@ -52,7 +52,7 @@
 
 
 class BadIndex(ValueError):
-    """An index that can't be read."""
+    """An index that can't be decoded."""
 
 
 @dataclass(slots=True, frozen=True)
