--- a/hallproxy/repository/config.py
+++ b/hallproxy/repository/config.py
@@ -45,11 +45,11 @@
     try:
         for key in top:
             if key not in KEYS:
-                raise ConfigError(f"unknown key {key!r}; known are {', '.join(KEYS)}")
+                raise ConfigError(f"unknown key {key!r}")
         settings = settings_from_json(json.dumps(top["settings"]).encode())
         for name in (INDEX, PACKAGE):
             if name not in {c.name for c in settings.classes}:
-                raise ConfigError(f"settings: no class {name}; the classes {INDEX} and {PACKAGE} are needed")
+                raise ConfigError(f"settings define no class {name}")
         upstreams = tuple((str(u["id"]), str(u["address"])) for u in top["upstream"])
         upstream_options = {str(u["address"]): _upstream_options(u, path.parent) for u in top["upstream"]}
         for _, upstream_address in upstreams:
@@ -94,7 +94,7 @@
     so that no secret is stored with the settings; an unset variable is an error at start.
     """
     if unknown := set(table) - UPSTREAM_KEYS:
-        raise ConfigError(f"upstream {table.get('id')!r}: unknown key {sorted(unknown)[0]!r}")
+        raise ConfigError(f"upstream: unknown key {sorted(unknown)[0]!r}")
     prefix = str(table.get("prefix", "")).rstrip("/")
     if not PREFIX.fullmatch(prefix):
         raise ConfigError(f"upstream {table.get('id')!r}: prefix {prefix!r} is not a path such as /pypi")
@@ -148,10 +148,12 @@
 def _rule(table: dict[str, object]) -> Rule:
     """``projects``: patterns of names, normalized; ``upstreams``: tiers in order, an id or mirrors each."""
     if set(table) - {"projects", "upstreams"}:
-        raise ConfigError(f"route: keys are {sorted(set(table))}; only projects and upstreams are accepted")
+        raise ConfigError(
+            f"route: only projects and upstreams are accepted as keys, not {sorted(set(table))}"
+        )
     projects, tiers = table["projects"], table["upstreams"]
     if not isinstance(projects, list) or not isinstance(tiers, list):
-        raise ConfigError(f"route: projects is {projects!r} and upstreams {tiers!r}; lists are accepted")
+        raise ConfigError("route: projects and upstreams must be lists")
     tier_ids = tuple((t,) if isinstance(t, str) else tuple(str(u) for u in t) for t in tiers)
     return Rule(tuple(simple.normalize_name(str(p)) if p else "" for p in projects), tier_ids)
 
@@ -169,7 +171,7 @@
     if type(large_mb) is not int or not 0 <= large_mb * MB <= max_file_bytes:
         raise ConfigError(f"files: large_mb is {large_mb!r}; an integer from 0 to file_most_mb is accepted")
     if not isinstance(directory, str) or not directory:
-        raise ConfigError(f"files: directory is {directory!r}; the name of a directory is accepted")
+        raise ConfigError(f"files: the name of a directory is accepted, but directory is {directory!r}")
     if type(max_mb) is not int or not 1 <= max_mb <= 1024 * 1024:
         raise ConfigError(f"files: most_mb is {max_mb!r}; an integer from 1 to 1048576 is accepted")
     return directory, max_mb * MB, large_mb * MB
@@ -178,12 +180,12 @@
 def _milliseconds(top: dict[str, object], key: str, default: int, maximum: int) -> int:
     value = top.get(key, default)
     if type(value) is not int or not 0 <= value <= maximum:
-        raise ConfigError(f"{key} is {value!r}; an integer from 0 to {maximum} is accepted")
+        raise ConfigError(f"{key} is {value!r}; accepted are integers from 0 to {maximum}")
     return value * 1_000_000
 
 
 def _megabytes(top: dict[str, object], key: str, default: int) -> int:
     value = top.get(key, default)
     if type(value) is not int or not 0 <= value <= 1024:
-        raise ConfigError(f"{key} is {value!r}; an integer from 0 to 1024 is accepted")
+        raise ConfigError(f"{key} must be an integer from 0 to 1024, not {value!r}")
     return value * 1024 * 1024
--- a/hallproxy/repository/front.py
+++ b/hallproxy/repository/front.py
@@ -643,10 +643,7 @@
             self._shed_slow_clients()
             await asyncio.wait_for(stream.write(b""), WRITE_TIMEOUT)
         except TimeoutError:
-            log_line(
-                f"repository: closed the connection of {connection.address}: "
-                f"it did not read its response within {WRITE_TIMEOUT:.0f} s"
-            )
+            log_line("repository: closed a client's connection: the client did not read its response in time")
             raise
         finally:
             self._slow_clients.discard(connection)
@@ -663,8 +660,7 @@
                 (c for c in self._slow_clients if c.team == largest_team), key=lambda c: c.unsent_bytes
             )
             log_line(
-                f"repository: closed the connection of {slow.address}: "
-                f"more than {MAX_UNSENT_BYTES} bytes are unsent to slow clients"
+                "repository: closed a slow client's connection: too many bytes are unsent to slow clients"
             )
             self._slow_clients.discard(slow)
             self._unsent_bytes -= slow.unsent_bytes
--- a/hallproxy/repository/serve.py
+++ b/hallproxy/repository/serve.py
@@ -192,7 +192,7 @@
         except (ContractError, KeyError, TypeError, AttributeError) as error:
             if initial:
                 raise
-            log_line(f"contracts: {self._path} not applied, the current ones stay in force: {error}")
+            log_line(f"contracts not applied, the current ones stay in force: {error}")
             return
         self._front.applied = applied
         self._runner.dispatch(ContractsUpdated(self._runner.now(), applied.contracts))
--- a/hallproxy/repository/simple.py
+++ b/hallproxy/repository/simple.py
@@ -184,7 +184,7 @@
             return _from_json(_load_json(body), project, prefix + path, set(hosts))
         return _from_html(body.decode("utf-8"), project, prefix + path, set(hosts))
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise BadIndex(f"index {path} can't be decoded: {type(error).__name__} {error}") from None
+        raise BadIndex(f"upstream index can't be decoded: {type(error).__name__} {error}") from None
 
 
 def _load_json(body: bytes) -> Any:
@@ -231,7 +231,7 @@
 def _skip_delimiter(text: str, at: int, delimiter: str) -> int:
     at = _skip_whitespace(text, at)
     if text[at] != delimiter:
-        raise ValueError(f"{text[at]!r} at {at}, expected {delimiter!r}")
+        raise ValueError(f"expected {delimiter!r} at {at}")
     return _skip_whitespace(text, at + 1)
 
 
@@ -291,7 +291,7 @@
     """Of an API version 1.x, at most the supported one; other major versions are rejected (PEP 629)."""
     major, _, minor = version.partition(".")
     if major != "1" or not minor.isdigit():
-        raise ValueError(f"API version is {version!r}; 1.x is accepted")
+        raise ValueError("the index's API version is not 1.x")
     return min(int(minor), MAX_MINOR_VERSION)
 
 
