--- a/tests/relay/test_relay_failures.py
+++ b/tests/relay/test_relay_failures.py
@@ -1,6 +1,6 @@
-"""A relay of the change log when something fails, on real sockets: its upstream, its followers, itself.
+"""A change-log relay over real sockets when its upstream, its followers or the relay itself fail.
 
-Each docstring names the guard without which the test fails.
+Each docstring starts with the guard in the code without which the test fails.
 """
 
 from __future__ import annotations
@@ -51,12 +51,10 @@
     wait_until_caught_up,
 )
 
-MAX_LATENCY_S = 2.4  # s in which a purge is to be held everywhere
-SHORT_FRESHNESS = {
-    "current_ms": 600,
-    "wait_ms": 100,
-}  # where a test waits until a relay is not current any more
-MIN_RING_EVENTS = 512  # the smallest ring that the file may ask for
+MAX_LATENCY_S = 2.4  # from a purge to its receipt by every follower
+# For tests that wait until a relay is no longer current.
+SHORT_FRESHNESS = {"current_ms": 600, "wait_ms": 100}
+MIN_RING_EVENTS = 512  # the minimum that the configuration accepts
 MB = 1024 * 1024
 
 StartRelay = Callable[..., Relay]
@@ -72,7 +70,7 @@
 
 @pytest.fixture
 def start_relay(tmp_path: Path) -> Iterator[StartRelay]:
-    """Start relays: of these logs or addresses, with these words of the file."""
+    """Start relays of these logs or addresses, with these settings."""
     started: list[Relay] = []
 
     def make(*upstreams: ScriptedLog | str, name: str = "", port: int = 0, **more: Any) -> Relay:
@@ -86,16 +84,16 @@
     for relay in started:
         if relay.program.process.poll() is None:
             relay.program.process.kill()
-        relay.program.wait()  # no traceback in what it said, either
+        relay.program.wait()  # also checks that its output has no traceback
 
 
 @pytest.fixture
 def start_followers() -> Iterator[Callable[..., list[Follower]]]:
-    """Followers by hand; that none of them met a gap or an event twice is looked at in the end."""
+    """Start followers; at teardown, check that none received a gap or a duplicate event."""
     started: list[Follower] = []
 
     def make(count: int, *ports: int, since: int = 0) -> list[Follower]:
-        # each has its own first one
+        # each starts at another port
         followers = [
             Follower([*ports[n % len(ports) :], *ports[: n % len(ports)]], since) for n in range(count)
         ]
@@ -129,13 +127,13 @@
 
 
 def purge_numbers(follower: Follower) -> list[int]:
-    """The numbers of the object purges that it was told, in their order."""
+    """The sequence numbers of the object purges that it received, in order."""
     purges = [(seq, e["invalidate"]) for seq, e, _ in follower.received if "invalidate" in e]
     return [seq for seq, purge in purges if purge.get("object")]
 
 
 def max_latency_ms(follower: Follower) -> int:
-    """The longest time (ms) from an object's purge to its being held."""
+    """The longest time (ms) from an object's purge to its receipt."""
     purges = [(e["invalidate"], at) for _, e, at in follower.received if "invalidate" in e]
     return max(int(at - purge["time"]) for purge, at in purges if purge.get("object"))
 
@@ -143,11 +141,11 @@
 # 1. A relay is killed -----------------------------------------------------------------------------------
 
 
-@pytest.mark.timing("each purge is held within 2.4 s")
-def test_a_relay_killed_under_purges_loses_and_doubles_nothing(
+@pytest.mark.timing("each purge is received within 2.4 s")
+def test_followers_lose_and_duplicate_no_purge_when_a_relay_is_killed(
     start_relay: StartRelay, log: ScriptedLog, start_followers: Callable[..., list[Follower]]
 ) -> None:
-    """Guard: one numbering for all relays, so that who comes from another one goes on from what it holds."""
+    """Guard: all relays use the log's numbers, so a follower continues at another from its last number."""
     first, second = start_relay(log), start_relay(log)
     followers = start_followers(20, first.port, second.port)
     stream = PurgeStream(log, 180)
@@ -164,11 +162,11 @@
         assert max_latency_ms(follower) < MAX_LATENCY_S * 1000
 
 
-@pytest.mark.timing("each purge is held within 2.4 s")
-def test_gateways_whose_relay_is_killed_lose_and_double_nothing(
+@pytest.mark.timing("each purge is dispatched within 2.4 s")
+def test_gateways_lose_and_duplicate_no_purge_when_a_relay_is_killed(
     start_relay: StartRelay, log: ScriptedLog, start_pollers: Callable[..., GatewayPollers]
 ) -> None:
-    """Guard: as above; a follower that fails over asks from what it holds, and drops half an answer."""
+    """Guard: as above; after a failover a poller polls from its last number and drops a partial response."""
     started = [start_relay(log) for _ in range(3)]
     pollers = start_pollers(40, *(r.port for r in started))
     stream = PurgeStream(log, 180)
@@ -182,16 +180,16 @@
     assert pollers.max_latency_ms() < MAX_LATENCY_S * 1000
 
 
-@pytest.mark.timing("each purge is held within 2.4 s")
-def test_a_change_over_in_a_lower_tier_costs_no_whole_page(
+@pytest.mark.timing("each purge is dispatched within 2.4 s")
+def test_a_failover_in_a_lower_tier_needs_no_snapshot(
     start_relay: StartRelay, log: ScriptedLog, start_pollers: Callable[..., GatewayPollers]
 ) -> None:
-    """Guard: a number a little above the last one is waited for.
+    """Guard: a poll from a number slightly ahead waits for the relay to reach it.
 
-    Relays of a tier differ by up to what the one above gathers; a whole page would take all copies from the
-    gateways that come from the one which is ahead.
+    Relays of a tier differ by up to the gather delay of the tier above. A snapshot would invalidate all
+    copies of the gateways that fail over from the relay which is ahead.
     """
-    upper = [start_relay(log, gather_ms=gather) for gather in (20, 350)]  # the first is ahead nearly always
+    upper = [start_relay(log, gather_ms=gather) for gather in (20, 350)]  # the first is nearly always ahead
     ahead, behind = (start_relay(u.address, gather_ms=0) for u in upper)
     until(lambda: ahead.caught_up_to(1) and behind.caught_up_to(1))
     pollers = start_pollers(40, ahead.port, behind.port, spread=0.02)
@@ -211,15 +209,15 @@
     assert pollers.max_latency_ms() < MAX_LATENCY_S * 1000
 
 
-@pytest.mark.timing("each purge is held within 2.4 s")
+@pytest.mark.timing("each purge is dispatched within 2.4 s")
 @pytest.mark.parametrize("suspended_s", [0.6, 0.9])
-def test_a_relay_that_is_held_up_at_a_change_over_makes_no_purge_late(
+def test_a_relay_suspended_during_a_failover_delays_no_purge(
     start_relay: StartRelay,
     log: ScriptedLog,
     start_pollers: Callable[..., GatewayPollers],
     suspended_s: float,
 ) -> None:
-    """Guards against purges 3.7 s late on a busy machine: the last relay was slow, and taken for failed."""
+    """Guard: a slow last relay is not taken for failed; this made purges 3.7 s late on a busy machine."""
     upper = [start_relay(log, gather_ms=gather) for gather in (20, 350)]
     ahead, behind = (start_relay(u.address, gather_ms=0) for u in upper)
     until(lambda: ahead.caught_up_to(1) and behind.caught_up_to(1))
@@ -228,7 +226,7 @@
     until(lambda: all(len(events) > 50 for events in pollers.received))
     published = behind.status()["last"]
     until(lambda: behind.status()["last"] > published)
-    refused = behind.status()["answers"]["behind"]  # before it was current
+    refused = behind.status()["answers"]["behind"]  # answered before it was current
     ahead.kill()
     with suspended(behind.program):
         time.sleep(suspended_s)
@@ -241,13 +239,13 @@
     assert behind.status()["answers"]["behind"] == refused  # no poll was answered with 503
 
 
-# 2. It comes back from nothing --------------------------------------------------------------------------
+# 2. A relay restarts without events ---------------------------------------------------------------------
 
 
-def test_a_relay_that_begins_anew_tells_a_whole_page_and_leaves_no_gap(
+def test_a_restarted_relay_sends_a_snapshot_and_leaves_no_gap(
     start_relay: StartRelay, log: ScriptedLog
 ) -> None:
-    """Guard: the ring's first number; who holds less than that gets the whole page, not the ring."""
+    """Guard: a poll from a number before the ring's first gets a snapshot, not the ring's events."""
     first = start_relay(log, ring_events=MIN_RING_EVENTS)
     log.add(*(purge_event(n) for n in range(2, 1_001)))
     until(lambda: first.caught_up_to(1_000))
@@ -257,44 +255,44 @@
     log.add(purge_event(1_001))
     until(lambda: second.caught_up_to(1_001))
     for since in (0, 1, 17, 1_000 - MIN_RING_EVENTS):
-        response = second.poll(since)
-        assert is_snapshot(response.events) and response.numbers[-1] == 1_001
-        instances = response.events[0]["fleet"]["instances"]
+        answer = second.poll(since)
+        assert is_snapshot(answer.events) and answer.numbers[-1] == 1_001
+        instances = answer.events[0]["fleet"]["instances"]
         assert [instance["instanceId"] for instance in instances] == ["s-0"]
     assert second.poll(1_001 - MIN_RING_EVENTS).numbers == list(range(1_002 - MIN_RING_EVENTS, 1_002))
     assert second.poll(1_000).numbers == [1_001]
     assert second.poll(1_001).numbers == []
 
 
-def test_who_holds_a_number_that_was_never_given_out_gets_a_whole_page(
+def test_a_poll_from_a_number_never_assigned_gets_a_snapshot(
     start_relay: StartRelay, log: ScriptedLog
 ) -> None:
-    """Guard: a number above the last one is of another life. Without it that follower waits for ever."""
+    """Guard: a number above the last is of another incarnation; otherwise its follower would wait forever."""
     log.add(*(purge_event(n) for n in range(2, 302)))
     relay = start_relay(log)
     until(lambda: relay.caught_up_to(301))
     for since in (302, 10**6, 10**17):
-        response = relay.poll(since, 5_000)
-        assert is_snapshot(response.events) and response.numbers[-1] == 301
-        assert response.numbers[0] == 301 - GROUPS
+        answer = relay.poll(since, 5_000)
+        assert is_snapshot(answer.events) and answer.numbers[-1] == 301
+        assert answer.numbers[0] == 301 - GROUPS
 
 
-def test_the_whole_page_s_purges_are_as_late_as_the_latest_told(
+def test_the_purges_of_a_snapshot_have_the_latest_purge_time(
     start_relay: StartRelay, log: ScriptedLog
 ) -> None:
-    """Guard: the latest time of all purges told, not of the last one: they need not come in order."""
+    """Guard: the latest time of all purges, not the last one's: they may arrive out of order."""
     latest = now_ms()
     log.add(*(purge_event(n, latest - 1000) for n in range(2, 200)), purge_event(200, latest))
     log.add(*(purge_event(n, latest - 500) for n in range(201, 1_001)))
     relay = start_relay(log, ring_events=MIN_RING_EVENTS)
     until(lambda: relay.caught_up_to(1_000))
-    response = relay.poll(1)
-    assert is_snapshot(response.events)
-    assert {e["invalidate"]["time"] for e in response.events[1:]} == {latest}
+    answer = relay.poll(1)
+    assert is_snapshot(answer.events)
+    assert {e["invalidate"]["time"] for e in answer.events[1:]} == {latest}
 
 
-def test_the_whole_page_s_list_is_folded(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: the fold; changes after the last whole list count, and those that have gone are not in it."""
+def test_the_list_of_a_snapshot_is_folded(start_relay: StartRelay, log: ScriptedLog) -> None:
+    """Guard: changes after the last full list are applied, and endpoints that are Gone are left out."""
     a, b, c = (f"s-{n}" for n in range(3))
     records = {x: instance_record(x, "127.0.0.1:1", "std") for x in (a, b, c)}
     log.restart(fleet_event(records[a], reset=True), fleet_event(records[b], records[c], generation=2))
@@ -422,7 +420,7 @@
 
 @pytest.fixture
 def log_and_relay(module_log_and_relay: tuple[ScriptedLog, Relay]) -> Iterator[tuple[ScriptedLog, Relay]]:
-    """One relay that meets all nonsense, one after the other; a new one behind a test that failed."""
+    """The log and relay that all invalid replies share; the relay is restarted after a failed test."""
     log, relay = module_log_and_relay
     yield log, relay
     if log.handler is not relays.send_page:
@@ -433,34 +431,35 @@
 
 
 @pytest.mark.parametrize("kind", INVALID_REPLIES)
-def test_nothing_of_nonsense_is_applied_and_all_of_it_comes_after(
+def test_an_invalid_reply_is_not_applied_and_its_events_arrive_later(
     log_and_relay: tuple[ScriptedLog, Relay], kind: str
 ) -> None:
-    """Guard: a page is read whole before any of it is applied; one that can't be read ends its connection.
+    """Guard: a page is parsed completely before any of it is applied; an invalid one closes its connection.
 
-    The page holds two good events ahead of what is wrong, or one ahead of it and one behind.
+    The page has two valid events before the invalid part, or one before and one after it.
     """
     log, relay = log_and_relay
     last = log.last
     until(lambda: relay.caught_up_to(last))
     before = log.set_handler(INVALID_REPLIES[kind])
     log.add(purge_event(last + 1), purge_event(last + 2), purge_event(last + 3))
-    until(lambda: len(log.polls) > before + 1)  # it has been told, and asks again
-    response = relay.poll(last)
-    assert response.status == 503 or response.numbers == []
-    assert all(since == last for since, _ in log.polls[before:] if since)  # a number once held is not lost
+    until(lambda: len(log.polls) > before + 1)  # it has received the reply, and polls again
+    answer = relay.poll(last)
+    assert answer.status == 503 or answer.numbers == []
+    # It keeps its number, and polls from there or from 0.
+    assert all(since == last for since, _ in log.polls[before:] if since)
     log.set_handler()
     until(lambda: relay.caught_up_to(last + 3))
-    response = relay.poll(last)
-    assert response.numbers == [last + 1, last + 2, last + 3] or is_snapshot(response.events)
+    answer = relay.poll(last)
+    assert answer.numbers == [last + 1, last + 2, last + 3] or is_snapshot(answer.events)
     assert relay.peak_memory_mb() < 128
 
 
-@pytest.mark.timing("a held poll is answered within 0.5 s")
-def test_a_relay_that_is_not_current_says_so_at_once_and_is_again_when_its_upstream_is(
+@pytest.mark.timing("an open poll is answered within 0.5 s")
+def test_a_relay_answers_503_at_once_while_its_upstream_fails(
     start_relay: StartRelay, log: ScriptedLog
 ) -> None:
-    """Guard: the age of the news. Without it followers would stay with a relay that hears nothing."""
+    """Guard: the limit on the upstream's age; otherwise followers would stay at a relay without updates."""
     handlers = [
         relays.never_answer,
         INVALID_REPLIES["no-json"],
@@ -480,12 +479,12 @@
     for relay, connection in zip(started, waiting, strict=True):
         until(lambda relay=relay: not relay.is_current())  # type: ignore[misc]
         began = time.monotonic()
-        response = connection.read_response()
-        assert response.status == 503 and time.monotonic() - began < 0.5  # also who has asked before
+        answer = connection.read_response()
+        assert answer.status == 503 and time.monotonic() - began < 0.5  # also to polls that were open before
     for connection in [*waiting, *idle]:
-        response = connection.poll(1, 5_000)  # the connection is kept
-        assert response.status == 503 and response.fields["retry-after"] == "1"
-        assert response.fields.get("connection", "").lower() != "close"
+        answer = connection.poll(1, 5_000)  # the connection stays open
+        assert answer.status == 503 and answer.fields["retry-after"] == "1"
+        assert answer.fields.get("connection", "").lower() != "close"
     for upstream in logs:
         upstream.set_handler()
     until(lambda: all(relay.is_current() and relay.caught_up_to(2) for relay in started))
@@ -494,10 +493,10 @@
         upstream.close()
 
 
-def test_followers_of_a_relay_that_is_not_current_lose_nothing_elsewhere(
+def test_followers_of_a_relay_that_is_not_current_lose_nothing(
     start_relay: StartRelay, log: ScriptedLog, start_followers: Callable[..., list[Follower]]
 ) -> None:
-    """Guard: 503 to held polls, too; the other relay goes on from what they hold."""
+    """Guard: open polls get 503, too; followers continue at the other relay from their last number."""
     silent = ScriptedLog()
     silent.add(*(json.loads(line) for line in log.encoded_events))
     stale, current = start_relay(silent, **SHORT_FRESHNESS), start_relay(log, **SHORT_FRESHNESS)
@@ -511,10 +510,10 @@
     silent.close()
 
 
-def test_after_the_log_jumped_back_each_connection_gets_a_whole_page(
+def test_each_connection_gets_a_snapshot_after_the_log_restarts(
     start_relay: StartRelay, log: ScriptedLog
 ) -> None:
-    """Guard: the former life's numbers mean nothing now, though the new ones may reach as high."""
+    """Guard: numbers of the previous incarnation are invalid, even if the new ones reach as high."""
     log.add(*(purge_event(n) for n in range(2, 41)))
     relay = start_relay(log)
     until(lambda: relay.caught_up_to(40))
@@ -527,38 +526,38 @@
         purge_event(2, later),
         purge_event(3, later),
     )
-    response = waiting.read_response()
-    assert is_snapshot(response.events) and response.numbers[-1] == 3
-    assert response.events[0]["fleet"]["instances"][0]["instanceId"] == "s-9"
-    assert {e["invalidate"]["time"] for e in response.events[1:]} == {later}
-    # A number that both lives have given out: it may be of the former one.
-    response = late.poll(2)
-    assert is_snapshot(response.events) and response.numbers[-1] == 3
+    answer = waiting.read_response()
+    assert is_snapshot(answer.events) and answer.numbers[-1] == 3
+    assert answer.events[0]["fleet"]["instances"][0]["instanceId"] == "s-9"
+    assert {e["invalidate"]["time"] for e in answer.events[1:]} == {later}
+    # Both incarnations have this number: it may be of the previous one.
+    answer = late.poll(2)
+    assert is_snapshot(answer.events) and answer.numbers[-1] == 3
     log.add(purge_event(4, later))
     until(lambda: waiting.poll(3, 1_000).numbers == [4])
-    assert late.poll(3).numbers == [4]  # its number is of this life by now
+    assert late.poll(3).numbers == [4]  # this connection's number is now of the current incarnation
     assert is_snapshot(relay.poll(3).events)
     log.add(*(purge_event(n, later) for n in range(5, 42)))
     until(lambda: late.poll(40, 1_000).numbers == [41])
-    assert relay.poll(40).numbers == [41]  # past the former life's last number
+    assert relay.poll(40).numbers == [41]  # past the previous incarnation's last number
 
 
-def test_purges_of_a_former_life_are_not_forgotten(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: the latest purge time goes on over a jump; a follower may lack the former life's last purges."""
+def test_the_latest_purge_time_outlasts_a_restart_of_the_log(
+    start_relay: StartRelay, log: ScriptedLog
+) -> None:
+    """Guard: the latest purge time is kept; a follower may lack the last purges before the restart."""
     latest = now_ms()
     log.add(purge_event(2, latest - 9_000), purge_event(3, latest))
     relay = start_relay(log)
     until(lambda: relay.caught_up_to(3))
     log.restart(fleet_event(instance_record("s-9", "127.0.0.1:1", "std"), reset=True))
-    response = until(
-        lambda: (answer := relay.poll(2, 200)).status == 200 and is_snapshot(answer.events) and answer
-    )
-    assert response.events[0]["fleet"]["instances"][0]["instanceId"] == "s-9"
-    assert {e["invalidate"]["time"] for e in response.events[1:]} == {latest}
+    answer = until(lambda: (got := relay.poll(2, 200)).status == 200 and is_snapshot(got.events) and got)
+    assert answer.events[0]["fleet"]["instances"][0]["instanceId"] == "s-9"
+    assert {e["invalidate"]["time"] for e in answer.events[1:]} == {latest}
 
 
-def test_a_gap_is_asked_about_once_more_and_not_told(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: numbers that follow each other. The log leaves one out once, as one of several may."""
+def test_a_gap_is_polled_again_and_not_forwarded(start_relay: StartRelay, log: ScriptedLog) -> None:
+    """Guard: numbers must be contiguous. The log leaves events out once, as one of several logs may."""
     log.add(*(purge_event(n) for n in range(2, 11)))
     relay = start_relay(log)
     until(lambda: relay.caught_up_to(10))
@@ -580,26 +579,24 @@
     assert 0 not in [since for since, _ in log.polls[before:]]
 
 
-def test_a_gap_that_stands_makes_it_begin_anew_with_whole_pages(
-    start_relay: StartRelay, log: ScriptedLog
-) -> None:
-    """Guard: asked from 0 after the second time; no follower is told what comes behind a gap."""
+def test_a_lasting_gap_leads_to_a_new_start_with_snapshots(start_relay: StartRelay, log: ScriptedLog) -> None:
+    """Guard: after the second gap the relay polls from 0; no follower receives events after a gap."""
     log.add(*(purge_event(n) for n in range(2, 11)))
     relay = start_relay(log)
     until(lambda: relay.caught_up_to(10))
     waiting = relay.connect()
     assert waiting.poll(10).numbers == []
-    with log.changed:  # what it had from 11 to 20 is lost, and so is what was before
+    with log.changed:  # the events up to 20 are lost
         first = fleet_event(instance_record("s-0", "127.0.0.1:1", "std"), reset=True)
         log.last_dropped, log.encoded_events = 20, [json.dumps({"seq": 21, **first}).encode()]
     log.add(purge_event(22))
     until(lambda: relay.caught_up_to(22))
-    response = waiting.poll(10, 2_000)
-    assert is_snapshot(response.events) and response.numbers[-1] == 22
+    answer = waiting.poll(10, 2_000)
+    assert is_snapshot(answer.events) and answer.numbers[-1] == 22
 
 
 def test_a_gap_of_one_upstream_is_filled_by_the_next(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: the next address is asked for what one lacks."""
+    """Guard: the next address is polled for the events that one lacks."""
     incomplete = ScriptedLog()
     incomplete.add(*(json.loads(line) for line in log.encoded_events))
     relay = start_relay(incomplete, log, spread_ms=50)
@@ -612,22 +609,22 @@
         )
         incomplete.changed.notify_all()
     until(lambda: relay.caught_up_to(5))
-    response = relay.poll(1)
-    assert response.numbers == [2, 3, 4, 5]
+    answer = relay.poll(1)
+    assert answer.numbers == [2, 3, 4, 5]
     incomplete.close()
 
 
-# 4. An hour's cut ---------------------------------------------------------------------------------------
+# 4. An hour without the log -----------------------------------------------------------------------------
 
 
 @pytest.mark.timing("the relay's processor time is bounded")
-def test_an_hour_s_purges_are_told_as_one_whole_page(
+def test_a_backlog_of_an_hour_is_sent_as_one_snapshot(
     start_relay: StartRelay, log: ScriptedLog, start_followers: Callable[..., list[Follower]]
 ) -> None:
-    """Guard: the ring's bound, and that a relay is not current until it has all of the backlog.
+    """Guard: the ring's limit, and that a relay is not current until it has the complete backlog.
 
-    648,000 purges are 180 a second for an hour. The bound is on the relay's own seconds of a core, as the
-    machine may be busy with other things.
+    648,000 purges are 180 per second for an hour. The limit applies to the relay's CPU time, as the machine
+    may be busy with other processes.
     """
     relay = start_relay(log, **SHORT_FRESHNESS)
     until(lambda: relay.caught_up_to(1))
@@ -653,11 +650,11 @@
 # 5. Ten times the purges --------------------------------------------------------------------------------
 
 
-@pytest.mark.timing("each purge is held within 2.4 s")
-def test_ten_times_the_purges_are_told_in_bounded_pages_and_memory(
+@pytest.mark.timing("each purge is received within 2.4 s")
+def test_ten_times_the_purges_are_sent_in_bounded_pages_and_memory(
     start_relay: StartRelay, log: ScriptedLog, start_followers: Callable[..., list[Follower]]
 ) -> None:
-    """Guard: `page_events`, and that the rest follows at the next poll."""
+    """Guard: `page_events`; the remaining events are sent at the next poll."""
     relay = start_relay(log, gather_ms=400, page_events=300)
     followers = start_followers(8, relay.port)
     wait_until_caught_up(followers, 1)
@@ -673,11 +670,9 @@
     assert relay.peak_memory_mb() < peak + 48
 
 
-@pytest.mark.timing("the page comes within 1 s")
-def test_a_change_of_the_list_does_not_wait_for_what_gathers(
-    start_relay: StartRelay, log: ScriptedLog
-) -> None:
-    """Guard: a change of the list cuts the page at once, and what has gathered goes with it, in its order."""
+@pytest.mark.timing("the page is received within 1 s")
+def test_a_list_change_publishes_gathered_events_at_once(start_relay: StartRelay, log: ScriptedLog) -> None:
+    """Guard: a list change publishes the page at once, with the gathered events before it in order."""
     relay = start_relay(log, gather_ms=5_000)
     until(lambda: relay.caught_up_to(1))
     waiting, late = relay.connect(), relay.connect()
@@ -688,14 +683,14 @@
     until(lambda: log.acknowledged(3))
     log.add(fleet_event(instance_record("s-0", "127.0.0.1:1", "std", "Terminating"), generation=2))
     log.add(purge_event(5))
-    response = waiting.read_response()
+    answer = waiting.read_response()
     assert time.monotonic() - began < 1.0
-    assert response.numbers[:3] == [2, 3, 4] and "fleet" in response.events[2]
+    assert answer.numbers[:3] == [2, 3, 4] and "fleet" in answer.events[2]
     assert late.poll(1, 5_000).numbers[:3] == [2, 3, 4]
 
 
-def test_a_poll_that_does_not_wait_gets_what_has_gathered(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: `timeout=0`; a gateway that starts asks so, and must not begin without what is known."""
+def test_a_poll_with_timeout_0_gets_gathered_events(start_relay: StartRelay, log: ScriptedLog) -> None:
+    """Guard: `timeout=0` waits for nothing; a starting gateway polls so and must get all known events."""
     relay = start_relay(log, gather_ms=5_000)
     until(lambda: relay.caught_up_to(1))
     log.add(purge_event(2), purge_event(3))
@@ -703,9 +698,11 @@
     assert relay.poll(1).numbers == [2, 3]
 
 
-@pytest.mark.timing("the page comes within 1 s")
-def test_a_drain_amid_ten_times_the_purges_comes_at_once(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: as above, under load: no event ahead of the drain is missing, and it does not wait."""
+@pytest.mark.timing("the page is received within 1 s")
+def test_a_drain_under_ten_times_the_purges_is_sent_at_once(
+    start_relay: StartRelay, log: ScriptedLog
+) -> None:
+    """Guard: as above, under load: no event before the drain is missing, and the drain does not wait."""
     relay = start_relay(log, gather_ms=5_000)
     until(lambda: relay.caught_up_to(1))
     waiting = relay.connect()
@@ -716,12 +713,10 @@
         fleet_event(instance_record("s-0", "127.0.0.1:1", "std", "Terminating"), generation=2)
     )
     began = time.monotonic()
-    response = waiting.read_response()
+    answer = waiting.read_response()
     assert time.monotonic() - began < 1.0
-    assert (
-        response.numbers == list(range(2, response.numbers[-1] + 1)) and response.numbers[-1] >= drain_number
-    )
-    assert "fleet" in response.events[drain_number - 2]
+    assert answer.numbers == list(range(2, answer.numbers[-1] + 1)) and answer.numbers[-1] >= drain_number
+    assert "fleet" in answer.events[drain_number - 2]
     stream.stop()
 
 
@@ -748,7 +743,7 @@
 
 
 @pytest.mark.parametrize("page_events", [1, 7])
-def test_pages_cut_in_the_middle_of_anything_lose_nothing(
+def test_pages_split_at_any_event_lose_nothing(
     start_relay: StartRelay, log: ScriptedLog, page_events: int
 ) -> None:
     """Guard: the next page begins behind the last event told; events of no known kind keep their number."""
@@ -771,19 +766,19 @@
     assert received == [json.loads(line) for line in log.encoded_events]
 
 
-def test_a_whole_page_is_not_cut(start_relay: StartRelay, log: ScriptedLog) -> None:
+def test_a_snapshot_is_not_split(start_relay: StartRelay, log: ScriptedLog) -> None:
     """Guard: a receiver knows a whole page by its form; `page_events` must not take it apart."""
     log.add(*(purge_event(n) for n in range(2, 1_001)))
     relay = start_relay(log, page_events=10, ring_events=MIN_RING_EVENTS)
     until(lambda: relay.caught_up_to(1_000))
-    response = relay.poll(5)
-    assert is_snapshot(response.events) and response.numbers[-1] == 1_000
+    answer = relay.poll(5)
+    assert is_snapshot(answer.events) and answer.numbers[-1] == 1_000
 
 
 def page_after(connection: RelayConnection, number: int) -> RelayResponse:
     """The page after a number, asked for again, as a follower does, while the relay is not current (503)."""
-    response: RelayResponse = until(lambda: (got := connection.poll(number)).status != 503 and got)
-    return response
+    answer: RelayResponse = until(lambda: (got := connection.poll(number)).status != 503 and got)
+    return answer
 
 
 @pytest.mark.timing("the relay encodes pages of many MB")
@@ -804,9 +799,9 @@
     assert (status["last"] - status["first"]) * len(text[1]) < 72 * MB
     connection, since = relay.connect(), status["first"] - 1
     while since < log.last:
-        response = page_after(connection, since)
-        assert len(response.body) < 16 * MB and response.numbers[0] == since + 1
-        since = response.numbers[-1]
+        answer = page_after(connection, since)
+        assert len(answer.body) < 16 * MB and answer.numbers[0] == since + 1
+        since = answer.numbers[-1]
     assert is_snapshot(page_after(connection, 1).events)
 
 
@@ -831,7 +826,7 @@
         connection.close()
 
 
-def test_followers_over_the_bound_are_sent_on(start_relay: StartRelay, log: ScriptedLog) -> None:
+def test_followers_over_the_limit_are_refused(start_relay: StartRelay, log: ScriptedLog) -> None:
     """Guard: `followers`; those who came before are answered all the same; a place left is given again."""
     relay = start_relay(log, followers=10)
     until(lambda: relay.caught_up_to(1))
@@ -850,9 +845,9 @@
     for _ in range(5):
         connection = relay.connect()
         connection.send(1, 5_000)
-        response = connection.read_response()
-        assert response.status == 503 and response.fields["connection"].lower() == "close"
-        assert "retry-after" in response.fields
+        answer = connection.read_response()
+        assert answer.status == 503 and answer.fields["connection"].lower() == "close"
+        assert "retry-after" in answer.fields
         assert connection.closed_by_peer()
     for connection in connections:
         connection.send(1, 5_000)
@@ -942,7 +937,7 @@
 
 
 @pytest.mark.timing("an answer has 2 s to be taken")
-def test_an_answer_that_is_not_taken_ends_its_connection(start_relay: StartRelay, log: ScriptedLog) -> None:
+def test_an_answer_that_is_not_read_ends_its_connection(start_relay: StartRelay, log: ScriptedLog) -> None:
     """Guard: 2 s for an answer. Without it, one who never reads holds a page and a place for ever."""
     log.add(*(purge_event(n) for n in range(2, 4_001)))
     relay = start_relay(log, followers=2, ring_events=5_000, page_events=5_000)
@@ -950,11 +945,11 @@
     stuck = socket.socket()
     stuck.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
     stuck.connect(("127.0.0.1", relay.port))
-    poll = b"GET /changes?since=0&timeout=0 HTTP/1.1\r\nHost: r\r\n\r\n"
+    poll_request = b"GET /changes?since=0&timeout=0 HTTP/1.1\r\nHost: r\r\n\r\n"
     stuck.settimeout(1)
     with contextlib.suppress(OSError):
         for _ in range(40):  # more than the kernel holds for it
-            stuck.sendall(poll)
+            stuck.sendall(poll_request)
 
     def both_accepted() -> bool:
         connections = [relay.connect(), relay.connect()]
@@ -1050,9 +1045,9 @@
     for connection, timeout in zip(polls, (5_001, 99_999_999_999, 10**30), strict=True):
         connection.send(1, timeout)
     for connection in polls:
-        response = connection.read_response()
-        assert response.status in (200, 400) and time.monotonic() - began < 6
-        assert response.status == 400 or response.numbers == []
+        answer = connection.read_response()
+        assert answer.status in (200, 400) and time.monotonic() - began < 6
+        assert answer.status == 400 or answer.numbers == []
         connection.close()
     for connection in unfinished:
         with contextlib.suppress(ConnectionError):
@@ -1063,13 +1058,13 @@
 
 @pytest.mark.parametrize("kind", BAD_REQUESTS)
 @pytest.mark.usefixtures("slow_checks")
-def test_a_bad_request_is_told_plainly(module_relay: Relay, kind: str) -> None:
+def test_a_bad_request_is_rejected(module_relay: Relay, kind: str) -> None:
     """Guard: the request's numbers are read strictly. No traceback is looked at where the relay ends."""
     connection = module_relay.connect()
     head, status = BAD_REQUESTS[kind]
     connection.sock.sendall(head + b"\r\nHost: r\r\nContent-Length: 0\r\n\r\n")
-    response = connection.read_response()
-    assert response.status == status or (status != 404 and response.status == 400), response
+    answer = connection.read_response()
+    assert answer.status == status or (status != 404 and answer.status == 400), answer
     connection.close()
     assert module_relay.caught_up_to(1)
 
@@ -1080,8 +1075,8 @@
     inner = b"GET /changes?since=0&timeout=0 HTTP/1.1\r\nHost: r\r\n\r\n"
     head = b"GET /changes?since=1&timeout=0 HTTP/1.1\r\nHost: r\r\nContent-Length: %d\r\n\r\n" % len(inner)
     connection.sock.sendall(head + inner)
-    response = connection.read_response()
-    assert response.status == 400 or response.numbers == []
+    answer = connection.read_response()
+    assert answer.status == 400 or answer.numbers == []
     connection.sock.settimeout(0.5)
     with contextlib.suppress(TimeoutError, ConnectionError):
         raise AssertionError(f"answered its body: {connection.read_response()}")
@@ -1089,7 +1084,7 @@
 
 @pytest.mark.timing("an answer comes within 1 s")
 @pytest.mark.parametrize("query", ["?since=1", "?timeout=0", "", "?", "?since=1&since=0&timeout=0"])
-def test_a_poll_without_its_numbers_is_answered_at_once(module_relay: Relay, query: str) -> None:
+def test_a_poll_without_its_parameters_is_answered_at_once(module_relay: Relay, query: str) -> None:
     """Guard: there is a number for what is missing, or a plain refusal; nobody hangs."""
     connection = module_relay.connect()
     began = time.monotonic()
@@ -1102,7 +1097,9 @@
 
 
 @pytest.mark.timing("the process ends within 3.5 s")
-def test_sigterm_answers_all_who_wait_and_sends_them_on(start_relay: StartRelay, log: ScriptedLog) -> None:
+def test_sigterm_answers_open_polls_and_closes_their_connections(
+    start_relay: StartRelay, log: ScriptedLog
+) -> None:
     """Guard: held polls are answered at once with what there is, each with `Connection: close`."""
     relay = start_relay(log, gather_ms=5_000)
     until(lambda: relay.caught_up_to(1))
@@ -1117,9 +1114,9 @@
     began = time.monotonic()
     relay.program.process.send_signal(signal.SIGTERM)
     for connection in connections:
-        response = connection.read_response()
-        assert response.status == 200 and response.fields["connection"].lower() == "close"
-        assert response.numbers == [2]
+        answer = connection.read_response()
+        assert answer.status == 200 and answer.fields["connection"].lower() == "close"
+        assert answer.numbers == [2]
         assert connection.closed_by_peer()
     assert time.monotonic() - began < 2
     assert idle.closed_by_peer()
@@ -1129,7 +1126,7 @@
 
 
 @pytest.mark.timing("the process ends within 3.7 s")
-def test_sigterm_does_not_wait_for_who_never_reads(start_relay: StartRelay, log: ScriptedLog) -> None:
+def test_sigterm_does_not_wait_for_clients_that_never_read(start_relay: StartRelay, log: ScriptedLog) -> None:
     """Guard: an answer is taken within 2 s, and the end comes after 3 s; either alone is enough here."""
     log.add(*(purge_event(n) for n in range(2, 4_001)))
     relay = start_relay(log, ring_events=5_000, page_events=5_000)
@@ -1144,7 +1141,7 @@
     stop.set()
 
 
-def test_followers_lose_nothing_when_a_relay_is_told_to_end(
+def test_followers_lose_nothing_when_a_relay_is_stopped(
     start_relay: StartRelay, log: ScriptedLog, start_followers: Callable[..., list[Follower]]
 ) -> None:
     """Guard: as above; followers are sent on in order and take the other one."""
@@ -1229,11 +1226,11 @@
 # 11. Two tiers ------------------------------------------------------------------------------------------
 
 
-def age_seconds(response: RelayResponse) -> int:
-    return int(response.fields["age"])
+def age_seconds(answer: RelayResponse) -> int:
+    return int(answer.fields["age"])
 
 
-def test_ages_sum_up_over_two_tiers(start_relay: StartRelay, log: ScriptedLog) -> None:
+def test_ages_add_up_over_two_tiers(start_relay: StartRelay, log: ScriptedLog) -> None:
     """Guard: the upper relay's own `Age` is counted in; the lower one would call itself current else."""
     upper = start_relay(log, current_ms=30_000)
     lower = start_relay(upper.address, current_ms=30_000, gather_ms=0)
@@ -1359,7 +1356,7 @@
 
 
 @pytest.mark.parametrize("kind", ["missing", "directory", *BAD_CONFIGS])
-def test_a_bad_file_is_one_line_and_no_start(
+def test_a_bad_file_is_one_error_line_and_prevents_the_start(
     tmp_path: Path, kind: str, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     """Guard: each word of the file is read strictly."""
@@ -1389,7 +1386,7 @@
     assert ended.returncode == 1 and len(ended.stderr.splitlines()) == 1, ended.stderr
 
 
-def test_a_port_that_is_taken_is_one_line(tmp_path: Path) -> None:
+def test_a_port_in_use_is_one_error_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         file = tmp_path / "relay.toml"
         file.write_text(VALID_CONFIG.replace("127.0.0.1:0", "127.0.0.1:%d" % taken.getsockname()[1]))
@@ -1469,7 +1466,7 @@
         server.listener.close()
 
 
-def test_a_server_that_is_no_relay_is_told_plainly() -> None:
+def test_a_server_that_is_no_relay_is_reported() -> None:
     """Guard: what answers is not trusted."""
     texts = (b"[]", b"{}", b"\xff", b'{"follows": [1], "slowest": 5, "confirmed_ms": {"count": 1}}')
     servers = [HttpStandIn(lambda _, text=text: response(200, text)) for text in texts]  # type: ignore[misc]
@@ -1555,7 +1552,7 @@
     assert last.at_ms - int(last.fields["x-max-age-ms"]) >= purged_ms
 
 
-def test_a_gateway_that_slept_through_the_ring_serves_nothing_from_before_a_purge(
+def test_a_gateway_suspended_past_the_ring_serves_no_purged_copy(
     start_relay: StartRelay, log: ScriptedLog, gateways: Gateways
 ) -> None:
     """Guard: the whole page. Its kept copy and the store's are from before a purge that the ring has lost."""
@@ -1578,7 +1575,7 @@
     )  # the folded list has the drain
 
 
-def test_a_gateway_killed_and_started_again_hears_of_a_purge_before_it_serves(
+def test_a_restarted_gateway_receives_a_purge_before_it_serves(
     start_relay: StartRelay, log: ScriptedLog, gateways: Gateways
 ) -> None:
     """Guard: as above, and the port that opens behind the first answer: `known` is older than the purge."""
@@ -1599,7 +1596,7 @@
 
 
 @pytest.mark.parametrize("known", [302, 10**6])
-def test_a_gateway_that_holds_a_number_never_given_out_hears_all_the_same(
+def test_a_gateway_at_a_number_never_assigned_receives_later_events(
     start_relay: StartRelay, log: ScriptedLog, gateways: Gateways, known: int
 ) -> None:
     """Guard: a whole page is taken whatever number was held; else it would skip all news up to there."""
@@ -1621,7 +1618,7 @@
     assert len(platform.caches[0].requests) == requests_before
 
 
-def test_a_relay_that_lost_its_ring_tells_its_gateways_all_the_same(
+def test_a_relay_that_lost_its_ring_still_delivers_purges(
     start_relay: StartRelay, log: ScriptedLog, gateways: Gateways
 ) -> None:
     """Guard: as above. The relay is killed and comes back behind a purge, holding the last events alone."""
@@ -1669,7 +1666,7 @@
 
 
 @pytest.mark.timing("copies rest within 6.5 s")
-def test_a_gateway_whose_relay_s_log_is_silent_rests_its_own_copies(
+def test_a_gateway_below_a_silent_log_stops_serving_its_own_copies(
     slow_checks: Sequence[CheckThread],
 ) -> None:
     """Guard: `Age`. Both relays answer in time all along; what is silent is the log, two tiers above."""
@@ -1677,19 +1674,19 @@
 
 
 @pytest.mark.timing("the purge is held within 2.4 s")
-def test_a_gateway_whose_relay_is_killed_hears_from_the_other(
+def test_a_gateway_whose_relay_is_killed_fails_over_to_the_other(
     start_relay: StartRelay, log: ScriptedLog, gateways: Gateways
 ) -> None:
     """Guard: several addresses. The change-over is over when a purge told after the kill is held."""
-    pair = [start_relay(log), start_relay(log)]
-    until(lambda: all(r.caught_up_to(1) for r in pair))
-    platform = gateways.start(*pair)
-    followed = until(lambda: next((r for r in pair if lowest_confirmed(r) == 1), None))
-    other = next(r for r in pair if r is not followed)
+    started = [start_relay(log), start_relay(log)]
+    until(lambda: all(r.caught_up_to(1) for r in started))
+    platform = gateways.start(*started)
+    followed = until(lambda: next((r for r in started if lowest_confirmed(r) == 1), None))
+    other = next(r for r in started if r is not followed)
     wait_until_cached(platform, 7, b"old")
     followed.kill()
-    purge_numbers = now_ms()
-    log.add(purge_event(7, purge_numbers))
+    purged_ms = now_ms()
+    log.add(purge_event(7, purged_ms))
     until(lambda: lowest_confirmed(other) == 2)
-    assert now_ms() - purge_numbers < MAX_LATENCY_S * 1000
-    assert_fetched_after(platform, 7, purge_numbers)
+    assert now_ms() - purged_ms < MAX_LATENCY_S * 1000
+    assert_fetched_after(platform, 7, purged_ms)
