--- a/tests/relay/test_relay_failures.py
+++ b/tests/relay/test_relay_failures.py
@@ -326,8 +326,8 @@
     "results-null": reply_with_changed_events(lambda events: [None]),
     "results-object": reply_with_body(lambda log, since: b'{"seq": %d, "results": {"seq": 4}}' % log.last),
     "results-number": reply_with_body(lambda log, since: b'{"seq": %d, "results": 4}' % log.last),
-    "results-words": reply_with_changed_events(lambda events: ["a", "b"]),
-    "an-event-of-words": reply_with_changed_events(
+    "results-strings": reply_with_changed_events(lambda events: ["a", "b"]),
+    "fleet-string": reply_with_changed_events(
         lambda events: [*events[:-1], {"seq": events[-1]["seq"], "fleet": "none"}]
     ),
 }
@@ -586,7 +586,7 @@
     until(lambda: relay.caught_up_to(10))
     waiting = relay.connect()
     assert waiting.poll(10).numbers == []
-    with log.changed:  # the events up to 20 are lost
+    with log.changed:  # the events 11 to 20 are lost, and so are those before
         first = fleet_event(instance_record("s-0", "127.0.0.1:1", "std"), reset=True)
         log.last_dropped, log.encoded_events = 20, [json.dumps({"seq": 21, **first}).encode()]
     log.add(purge_event(22))
@@ -597,27 +597,24 @@
 
 def test_a_gap_of_one_upstream_is_filled_by_the_next(start_relay: StartRelay, log: ScriptedLog) -> None:
     """Guard: the next address is polled for the events that one lacks."""
-    incomplete = ScriptedLog()
-    incomplete.add(*(json.loads(line) for line in log.encoded_events))
-    relay = start_relay(incomplete, log, spread_ms=50)
+    partial = ScriptedLog()
+    partial.add(*(json.loads(line) for line in log.encoded_events))
+    relay = start_relay(partial, log, spread_ms=50)
     until(lambda: relay.caught_up_to(1))
     log.add(*(purge_event(n) for n in range(2, 6)))
-    with incomplete.changed:
-        incomplete.last_dropped, incomplete.encoded_events = (
-            3,
-            [json.dumps({"seq": 4, **purge_event(4)}).encode()],
-        )
-        incomplete.changed.notify_all()
+    with partial.changed:
+        partial.last_dropped, partial.encoded_events = 3, [json.dumps({"seq": 4, **purge_event(4)}).encode()]
+        partial.changed.notify_all()
     until(lambda: relay.caught_up_to(5))
     answer = relay.poll(1)
     assert answer.numbers == [2, 3, 4, 5]
-    incomplete.close()
+    partial.close()
 
 
 # 4. An hour without the log -----------------------------------------------------------------------------
 
 
-@pytest.mark.timing("the relay's processor time is bounded")
+@pytest.mark.timing("the relay's CPU time is limited to 2.4 s")
 def test_a_backlog_of_an_hour_is_sent_as_one_snapshot(
     start_relay: StartRelay, log: ScriptedLog, start_followers: Callable[..., list[Follower]]
 ) -> None:
@@ -726,7 +723,7 @@
 def test_two_changes_of_a_member_in_one_page_keep_their_order(
     start_relay: StartRelay, log: ScriptedLog
 ) -> None:
-    """Guard: events are told as they came, and the fold of the list takes the last one."""
+    """Guard: events are sent in the log's order, and the folded list has the last state."""
     ready = instance_record("s-0", "127.0.0.1:1", "std")
     relay = start_relay(log, gather_ms=0)
     until(lambda: relay.caught_up_to(1))
@@ -735,7 +732,7 @@
     states = [e["fleet"]["instances"][0]["lifecycle"] for e in relay.poll(1).events]
     assert states == ["Terminating", "Ready"]
     both = [ready | {"lifecycle": "Ready"}, ready | {"lifecycle": "Terminating"}]
-    log.add(fleet_event(*both, generation=4))  # twice in one event: the last one counts
+    log.add(fleet_event(*both, generation=4))  # twice in one event: the last state applies
     until(lambda: relay.caught_up_to(4))
     assert relay.poll(3).events[0]["fleet"]["instances"] == both
     instances = relay.poll(10**6).events[0]["fleet"]["instances"]
@@ -746,7 +743,7 @@
 def test_pages_split_at_any_event_lose_nothing(
     start_relay: StartRelay, log: ScriptedLog, page_events: int
 ) -> None:
-    """Guard: the next page begins behind the last event told; events of no known kind keep their number."""
+    """Guard: the next page starts after the last event sent; events of unknown kinds keep their numbers."""
     line = instance_record("s-1", "127.0.0.1:1", "std")
     kinds: list[relays.Event] = [
         purge_event(1), {"invalidate": {"bucket": 9, "time": now_ms()}}, fleet_event(line),
@@ -767,7 +764,7 @@
 
 
 def test_a_snapshot_is_not_split(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: a receiver knows a whole page by its form; `page_events` must not take it apart."""
+    """Guard: a receiver identifies a snapshot by its form, so `page_events` must not split it."""
     log.add(*(purge_event(n) for n in range(2, 1_001)))
     relay = start_relay(log, page_events=10, ring_events=MIN_RING_EVENTS)
     until(lambda: relay.caught_up_to(1_000))
@@ -776,15 +773,18 @@
 
 
 def page_after(connection: RelayConnection, number: int) -> RelayResponse:
-    """The page after a number, asked for again, as a follower does, while the relay is not current (503)."""
+    """The page after a number; polls again, as a follower does, while the relay is not current (503)."""
     answer: RelayResponse = until(lambda: (got := connection.poll(number)).status != 503 and got)
     return answer
 
 
 @pytest.mark.timing("the relay encodes pages of many MB")
 def test_pages_and_the_ring_are_bounded_in_bytes_too(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: bytes, not events alone. A page that a gateway refuses as too long (16 MB) would be asked for
-    again for ever, and a ring of long lists would take all memory."""
+    """Guard: limits in bytes, not in events alone.
+
+    A page that a gateway refuses as too long (16 MB) would be polled for again forever, and a ring of long
+    lists would take all memory.
+    """
     instances = [instance_record(f"s-{n}", "127.0.0.1:1", "std") for n in range(2_000)]
     text = json.dumps({"seq": 0, **fleet_event(*instances, reset=True)}).encode().split(b"0", 1)
     count = 80 * MB // len(text[1])
@@ -809,7 +809,7 @@
 
 
 def test_all_followers_at_once_are_answered(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: the listener's backlog, and pages built once for all who ask from the same number."""
+    """Guard: the listener's backlog, and pages built once for all polls from the same number."""
     log.add(*(purge_event(n) for n in range(2, 301)))
     relay = start_relay(log, followers=320)
     until(lambda: relay.caught_up_to(300))
@@ -827,13 +827,13 @@
 
 
 def test_followers_over_the_limit_are_refused(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: `followers`; those who came before are answered all the same; a place left is given again."""
+    """Guard: `followers`; connections within the limit are still answered, and a closed one makes room."""
     relay = start_relay(log, followers=10)
     until(lambda: relay.caught_up_to(1))
     connections: list[RelayConnection] = []
 
     def connect_if_accepted() -> bool:
-        """A connection of `current` may still be counted."""
+        """May fail while the connection of an earlier `caught_up_to` is still counted."""
         connection = relay.connect()
         if connection.poll(1).status != 200:
             return False
@@ -909,11 +909,11 @@
     sock.close()
 
 
-@pytest.mark.timing("each purge is held within 1 s")
+@pytest.mark.timing("each purge is received within 1 s")
 def test_no_hostile_follower_delays_another(
     start_relay: StartRelay, log: ScriptedLog, start_followers: Callable[..., list[Follower]]
 ) -> None:
-    """Guard: bounds on heads, on what is not taken and on one open poll; nobody is waited for."""
+    """Guard: limits on heads, unread answers and polls (one open per connection); none blocks another."""
     log.add(*(purge_event(n) for n in range(2, 2_001)))
     relay = start_relay(log)
     until(lambda: relay.caught_up_to(2_000))
@@ -936,9 +936,9 @@
         thread.join(5)
 
 
-@pytest.mark.timing("an answer has 2 s to be taken")
+@pytest.mark.timing("an answer must be read within 2 s")
 def test_an_answer_that_is_not_read_ends_its_connection(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: 2 s for an answer. Without it, one who never reads holds a page and a place for ever."""
+    """Guard: 2 s to read an answer; otherwise a client that never reads keeps a page and a slot forever."""
     log.add(*(purge_event(n) for n in range(2, 4_001)))
     relay = start_relay(log, followers=2, ring_events=5_000, page_events=5_000)
     until(lambda: relay.caught_up_to(4_000))
@@ -948,7 +948,7 @@
     poll_request = b"GET /changes?since=0&timeout=0 HTTP/1.1\r\nHost: r\r\n\r\n"
     stuck.settimeout(1)
     with contextlib.suppress(OSError):
-        for _ in range(40):  # more than the kernel holds for it
+        for _ in range(40):  # more than the kernel buffers
             stuck.sendall(poll_request)
 
     def both_accepted() -> bool:
@@ -968,9 +968,9 @@
     "since-negative": (b"GET /changes?since=-1&timeout=0 HTTP/1.1", 400),
     "since-word": (b"GET /changes?since=one&timeout=0 HTTP/1.1", 400),
     "since-empty": (b"GET /changes?since=&timeout=0 HTTP/1.1", 400),
-    "since-digits-of-others": ("GET /changes?since=²&timeout=0 HTTP/1.1".encode(), 400),
+    "since-superscript-digit": ("GET /changes?since=²&timeout=0 HTTP/1.1".encode(), 400),
     "since-underscore": (b"GET /changes?since=1_0&timeout=0 HTTP/1.1", 400),
-    "since-endless": (b"GET /changes?since=" + b"9" * 3_000 + b"&timeout=0 HTTP/1.1", 400),
+    "since-too-long": (b"GET /changes?since=" + b"9" * 3_000 + b"&timeout=0 HTTP/1.1", 400),
     "timeout-negative": (b"GET /changes?since=1&timeout=-1 HTTP/1.1", 400),
     "timeout-word": (b"GET /changes?since=1&timeout=soon HTTP/1.1", 400),
     "method-post": (b"POST /changes?since=1&timeout=0 HTTP/1.1", 405),
@@ -1000,7 +1000,7 @@
 def slow_checks(
     module_relay: Relay, tmp_path_factory: pytest.TempPathFactory
 ) -> Iterator[Sequence[CheckThread]]:
-    """What takes over five seconds, begun here so that others run meanwhile; two tests wait for its end."""
+    """Checks of over five seconds, started here to run beside other tests; two tests wait for their end."""
     path = tmp_path_factory.mktemp("silent")
     threads = [
         CheckThread(lambda: check_poll_and_head_limits(module_relay)),
@@ -1010,11 +1010,11 @@
         thread.start()
     yield threads
     for thread in threads:
-        thread.join(DEADLINE)  # it stops the processes that it started
+        thread.join(DEADLINE)  # the thread stops the processes that it started
 
 
 class CheckThread(threading.Thread):
-    """A thread whose error is raised where it is waited for."""
+    """A thread whose error is raised by ``join_and_raise``."""
 
     def __init__(self, check: Callable[[], None]) -> None:
         super().__init__(daemon=True)
@@ -1024,7 +1024,7 @@
     def run(self) -> None:
         try:
             self._check()
-        except BaseException as error:  # noqa: BLE001 - raised again where the thread is waited for
+        except BaseException as error:  # noqa: BLE001 - raised again by join_and_raise
             self._error = error
 
     def join_and_raise(self) -> None:
@@ -1035,7 +1035,7 @@
 
 
 def check_poll_and_head_limits(relay: Relay) -> None:
-    """Polls that ask for more than they may wait, and heads that are not finished."""
+    """Polls with a timeout over the limit, and unfinished heads."""
     reused = relay.connect()
     assert reused.poll(1).status == 200
     began = time.monotonic()
@@ -1059,7 +1059,7 @@
 @pytest.mark.parametrize("kind", BAD_REQUESTS)
 @pytest.mark.usefixtures("slow_checks")
 def test_a_bad_request_is_rejected(module_relay: Relay, kind: str) -> None:
-    """Guard: the request's numbers are read strictly. No traceback is looked at where the relay ends."""
+    """Guard: the parameters are parsed strictly. The fixture checks at the end that there is no traceback."""
     connection = module_relay.connect()
     head, status = BAD_REQUESTS[kind]
     connection.sock.sendall(head + b"\r\nHost: r\r\nContent-Length: 0\r\n\r\n")
@@ -1070,7 +1070,7 @@
 
 
 def test_a_request_with_a_body_does_not_smuggle_another(module_relay: Relay) -> None:
-    """Guard: a body that nobody reads must not be taken for the next request."""
+    """Guard: a body that is not read must not be parsed as the next request."""
     connection = module_relay.connect()
     inner = b"GET /changes?since=0&timeout=0 HTTP/1.1\r\nHost: r\r\n\r\n"
     head = b"GET /changes?since=1&timeout=0 HTTP/1.1\r\nHost: r\r\nContent-Length: %d\r\n\r\n" % len(inner)
@@ -1082,10 +1082,10 @@
         raise AssertionError(f"answered its body: {connection.read_response()}")
 
 
-@pytest.mark.timing("an answer comes within 1 s")
+@pytest.mark.timing("the answer is received within 1 s")
 @pytest.mark.parametrize("query", ["?since=1", "?timeout=0", "", "?", "?since=1&since=0&timeout=0"])
 def test_a_poll_without_its_parameters_is_answered_at_once(module_relay: Relay, query: str) -> None:
-    """Guard: there is a number for what is missing, or a plain refusal; nobody hangs."""
+    """Guard: a missing parameter has a default or is refused with 400; the poll does not hang."""
     connection = module_relay.connect()
     began = time.monotonic()
     connection.sock.sendall(f"GET /changes{query} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
@@ -1100,7 +1100,7 @@
 def test_sigterm_answers_open_polls_and_closes_their_connections(
     start_relay: StartRelay, log: ScriptedLog
 ) -> None:
-    """Guard: held polls are answered at once with what there is, each with `Connection: close`."""
+    """Guard: open polls are answered at once with the events so far, each with `Connection: close`."""
     relay = start_relay(log, gather_ms=5_000)
     until(lambda: relay.caught_up_to(1))
     connections = [relay.connect() for _ in range(50)]
@@ -1109,7 +1109,7 @@
     for connection in connections:
         connection.send(1, 5_000)
     until(lambda: log.acknowledged(1))
-    log.add(purge_event(2))  # gathers
+    log.add(purge_event(2))  # waits for the gather delay
     until(lambda: log.acknowledged(2))
     began = time.monotonic()
     relay.program.process.send_signal(signal.SIGTERM)
@@ -1127,7 +1127,7 @@
 
 @pytest.mark.timing("the process ends within 3.7 s")
 def test_sigterm_does_not_wait_for_clients_that_never_read(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: an answer is taken within 2 s, and the end comes after 3 s; either alone is enough here."""
+    """Guard: an answer must be read within 2 s; the relay exits after 3 s. Either alone is enough here."""
     log.add(*(purge_event(n) for n in range(2, 4_001)))
     relay = start_relay(log, ring_events=5_000, page_events=5_000)
     until(lambda: relay.caught_up_to(4_000))
@@ -1144,7 +1144,7 @@
 def test_followers_lose_nothing_when_a_relay_is_stopped(
     start_relay: StartRelay, log: ScriptedLog, start_followers: Callable[..., list[Follower]]
 ) -> None:
-    """Guard: as above; followers are sent on in order and take the other one."""
+    """Guard: as above; the followers' connections are closed cleanly and they poll the other relay."""
     first, second = start_relay(log), start_relay(log)
     followers = start_followers(10, first.port, second.port)
     stream = PurgeStream(log, 180)
@@ -1159,9 +1159,10 @@
 
 @pytest.mark.timing("polls end within 6 s and heads within 7 s")
 def test_no_poll_and_no_unfinished_head_lasts_over_five_seconds(slow_checks: Sequence[CheckThread]) -> None:
-    """Guard: the most that a poll may wait, and that a head may take.
+    """Guard: the maximum time of a poll and of a head.
 
-    A poll that asks for more is refused or held so long. A head's time runs from its connect or first byte.
+    A poll with a longer timeout is refused or held for the maximum. A head's time starts at its connect or
+    its first byte.
     """
     slow_checks[0].join_and_raise()
 
@@ -1170,7 +1171,7 @@
 
 
 def assert_not_current(*relay_processes: Relay) -> None:
-    """None is current any more, and none is again for a second."""
+    """Wait until none is current, and check that none becomes current for a second."""
     until(lambda: not any(relay.is_current() for relay in relay_processes))
     end = time.monotonic() + 1.0
     while time.monotonic() < end:
@@ -1178,15 +1179,15 @@
 
 
 def set_upstreams(relay: Relay, *addresses: str) -> None:
-    """Have a running relay follow these."""
+    """Change the upstreams of a running relay."""
     relay.write_config(upstream=list(addresses))
     relay.send_sighup()
 
 
 def test_two_relays_that_follow_each_other_are_not_current(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: `Via`: a relay's own name in it, or that it may not grow; either alone is enough here.
+    """Guard: a `Via` with the relay's own name or with too many relays is refused; either is enough here.
 
-    Each heard the log before; without them each would be current by the other's word.
+    Each relay was current before; without the guards the two would keep each other current.
     """
     both = first, second = start_relay(log, **SHORT_FRESHNESS), start_relay(log, **SHORT_FRESHNESS)
     until(lambda: first.caught_up_to(1) and second.caught_up_to(1))
@@ -1203,7 +1204,7 @@
 def test_a_relay_that_follows_itself_by_another_name_is_not_current(
     start_relay: StartRelay, log: ScriptedLog
 ) -> None:
-    """Guard: `Via` again; that the address differs from its own tells nothing."""
+    """Guard: `Via` again; an upstream address that differs from the relay's own proves nothing."""
     relay = start_relay(log, **SHORT_FRESHNESS)
     until(lambda: relay.caught_up_to(1))
     tunnel = Tunnel(relay.port)
@@ -1216,7 +1217,7 @@
 
 
 def test_relays_that_begin_in_a_loop_are_not_current(start_relay: StartRelay) -> None:
-    """Guard: as above, and that one which has heard nothing yet is not current."""
+    """Guard: as above, and that a relay that has received nothing yet is not current."""
     ports = free_port(), free_port()
     first = start_relay(f"127.0.0.1:{ports[1]}", port=ports[0], **SHORT_FRESHNESS)
     second = start_relay(f"127.0.0.1:{ports[0]}", port=ports[1], **SHORT_FRESHNESS)
@@ -1231,7 +1232,7 @@
 
 
 def test_ages_add_up_over_two_tiers(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: the upper relay's own `Age` is counted in; the lower one would call itself current else."""
+    """Guard: the upper relay's `Age` is added; otherwise the lower one would report itself current."""
     upper = start_relay(log, current_ms=30_000)
     lower = start_relay(upper.address, current_ms=30_000, gather_ms=0)
     until(lambda: lower.caught_up_to(1))
@@ -1240,7 +1241,7 @@
     began = time.monotonic()
     until(lambda: age_seconds(upper.poll(1)) >= 3)
     assert age_seconds(lower.poll(1)) >= 3
-    assert time.monotonic() - began > 0.9  # not from the beginning
+    assert time.monotonic() - began > 0.9  # the age was lower at the start
     log.set_handler()
     until(lambda: age_seconds(upper.poll(1)) <= 1)
 
@@ -1248,7 +1249,7 @@
 def test_a_lower_relay_is_not_current_when_the_one_above_is_not(
     start_relay: StartRelay, log: ScriptedLog
 ) -> None:
-    """Guard: a 503 from above is no news; all tiers are current again when the log is."""
+    """Guard: a 503 from above is not an update; all tiers are current again when the log is."""
     upper = start_relay(log, **SHORT_FRESHNESS)
     lower = start_relay(upper.address, **SHORT_FRESHNESS, gather_ms=0)
     until(lambda: lower.caught_up_to(1))
@@ -1264,7 +1265,7 @@
 
 
 def lowest_confirmed(relay: Relay) -> int:
-    """The lowest number that its connected followers hold; -1: it has none."""
+    """The lowest number that its connected followers confirmed; -1: it has none."""
     lowest = relay.status()["lowest"]
     return -1 if lowest is None else int(lowest)
 
@@ -1274,7 +1275,7 @@
 
 
 def test_sighup_with_another_upstream_leaves_no_gap(start_relay: StartRelay, log: ScriptedLog) -> None:
-    """Guard: the numbers go on over the change; followers' connections stay as they are."""
+    """Guard: the numbers continue across the change, and followers' connections stay open."""
     relay = start_relay(log)
     until(lambda: relay.caught_up_to(1))
     waiting = relay.connect()
@@ -1296,7 +1297,7 @@
 def test_sighup_with_a_file_that_cannot_be_used_changes_nothing(
     start_relay: StartRelay, log: ScriptedLog
 ) -> None:
-    """Guard: the file is read whole before any of it counts."""
+    """Guard: the file is validated completely before any of it is applied."""
     relay = start_relay(log)
     until(lambda: relay.caught_up_to(1))
     file = relay.path / f"{relay.name}.toml"
@@ -1359,10 +1360,10 @@
 def test_a_bad_file_is_one_error_line_and_prevents_the_start(
     tmp_path: Path, kind: str, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """Guard: each word of the file is read strictly."""
+    """Guard: each setting of the file is parsed strictly."""
 
     async def started(*_: object) -> None:
-        raise AssertionError("it starts with this")
+        raise AssertionError("the relay starts with this file")
 
     monkeypatch.setattr("hallproxy.relay.serve.serve", started)
     file = tmp_path / "relay.toml"
@@ -1380,7 +1381,7 @@
     "text", ["", VALID_CONFIG.replace("127.0.0.1:0", "192.0.2.1:0"), VALID_CONFIG + "gather_ms = 5.5\n"]
 )
 def test_a_bad_file_ends_the_process_with_one_line(tmp_path: Path, text: str) -> None:
-    """Guard: as above, of a process; also an address that is not this machine's."""
+    """Guard: as above, in a process; also an address that is not this machine's."""
     (tmp_path / "relay.toml").write_text(text)
     ended = run_program("relay", str(tmp_path / "relay.toml"))
     assert ended.returncode == 1 and len(ended.stderr.splitlines()) == 1, ended.stderr
@@ -1394,7 +1395,7 @@
     assert ended.returncode and len(ended.stderr.splitlines()) == 1, ended.stderr
 
 
-# 13. What is said of the tree ---------------------------------------------------------------------------
+# 13. The status of the tree -----------------------------------------------------------------------------
 
 
 def status_output(*relay_processes: Relay) -> str:
@@ -1406,7 +1407,7 @@
 def test_the_lowest_confirmed_number_and_the_slowest_follower_are_named(
     start_relay: StartRelay, log: ScriptedLog
 ) -> None:
-    """Guard: who asks from a number holds it; an answer that was sent confirms nothing."""
+    """Guard: a poll from a number confirms it; an answer that was sent confirms nothing."""
     relay = start_relay(log, gather_ms=0)
     until(lambda: relay.caught_up_to(1))
     fast, slow = relay.connect(), relay.connect()
@@ -1425,14 +1426,14 @@
     slow.close()
     log.add(purge_event(4))
     until(lambda: fast.poll(3, 1_000).numbers == [4] and fast.poll(4).numbers == [])
-    assert lowest_confirmed(relay) == 4  # who has left holds nobody back
+    assert lowest_confirmed(relay) == 4  # a disconnected follower no longer counts
     assert relay.status()["confirmed_ms"]["count"] >= 3
 
 
 def test_a_tree_of_two_tiers_is_shown_and_one_that_is_down_or_behind_is_named(
     start_relay: StartRelay, log: ScriptedLog
 ) -> None:
-    """Guard: whom each follows; one that can't be reached must not hide the others."""
+    """Guard: each relay's upstream; one that can't be reached must not hide the others."""
     upper = start_relay(log, **SHORT_FRESHNESS, name="upper")
     lower = [start_relay(upper.address, gather_ms=0, **SHORT_FRESHNESS, name=f"low{n}") for n in range(2)]
     until(lambda: all(r.caught_up_to(1) for r in lower))
@@ -1452,7 +1453,7 @@
 
 
 def test_the_tree_of_a_loop_is_shown_once() -> None:
-    """Guard: those that no root leads to are shown, too, each once; a loop is not gone round for ever."""
+    """Guard: relays without a root are shown, too, each once; a loop is not followed forever."""
     loop = [HttpStandIn(lambda _: None) for _ in range(3)]
     for index, server in enumerate(loop):
         status: dict[str, Any] = {"name": f"r{index}", "follows": loop[index - 1].address, "confirmed_ms": {}}
@@ -1467,7 +1468,7 @@
 
 
 def test_a_server_that_is_no_relay_is_reported() -> None:
-    """Guard: what answers is not trusted."""
+    """Guard: the answers are validated."""
     texts = (b"[]", b"{}", b"\xff", b'{"follows": [1], "slowest": 5, "confirmed_ms": {"count": 1}}')
     servers = [HttpStandIn(lambda _, text=text: response(200, text)) for text in texts]  # type: ignore[misc]
     servers += [HttpStandIn(lambda _: b"garbage\r\n\r\n"), HttpStandIn(lambda _: response(500, b"no"))]
@@ -1478,11 +1479,11 @@
         server.listener.close()
 
 
-# The gateway behind a relay -----------------------------------------------------------------------------
+# A gateway that follows a relay -------------------------------------------------------------------------
 
 
 class Gateways:
-    """Gateways with two stores by hand; they follow relays of one log, whose first event is their list."""
+    """Gateways with two stand-in caches; they follow relays of one log, whose first event is their list."""
 
     def __init__(self, path: Path, log: ScriptedLog) -> None:
         self.path, self.log = path, log
@@ -1497,7 +1498,7 @@
         self.started: list[Platform] = []
 
     def start(self, *upstreams: Relay, known: int = 1) -> Platform:
-        """One that follows these relays; its file knows the list, and says that it is as of that number."""
+        """Start one that follows these relays; its file has the list, as of the number ``known``."""
         path = self.path / f"gateway-{len(self.started)}"
         path.mkdir()
         file = path / "logs.toml"
@@ -1528,7 +1529,7 @@
 
 
 def wait_until_cached(platform: Platform, row: int, body: bytes) -> None:
-    """Have the object asked for until the gateway answers it from a copy of its own."""
+    """Request the object until the gateway answers from a copy of its own."""
     client = platform.client()
     platform.set_reply(ok(body))
 
@@ -1542,7 +1543,7 @@
 
 
 def assert_fetched_after(platform: Platform, row: int, purged_ms: int) -> None:
-    """The store is asked, for nothing from before that time (Unix ms), and its answer is served."""
+    """Check that a cache is asked for a copy made since that time (Unix ms), and its answer is served."""
     platform.set_reply(ok(b"new"))
     client = platform.client()
     client.send_request(row=row)
@@ -1555,7 +1556,7 @@
 def test_a_gateway_suspended_past_the_ring_serves_no_purged_copy(
     start_relay: StartRelay, log: ScriptedLog, gateways: Gateways
 ) -> None:
-    """Guard: the whole page. Its kept copy and the store's are from before a purge that the ring has lost."""
+    """Guard: the snapshot. The gateway's copy and the cache's predate a purge that has left the ring."""
     relay = start_relay(log, ring_events=MIN_RING_EVENTS)
     until(lambda: relay.caught_up_to(1))
     platform = gateways.start(relay)
@@ -1570,15 +1571,14 @@
         until(lambda: relay.caught_up_to(log.last))
     until(lambda: lowest_confirmed(relay) == log.last)
     assert_fetched_after(platform, 7, purged_ms)
-    assert all(
-        request.at_ms < purged_ms for request in platform.caches[0].requests
-    )  # the folded list has the drain
+    # The folded list has the drain.
+    assert all(request.at_ms < purged_ms for request in platform.caches[0].requests)
 
 
 def test_a_restarted_gateway_receives_a_purge_before_it_serves(
     start_relay: StartRelay, log: ScriptedLog, gateways: Gateways
 ) -> None:
-    """Guard: as above, and the port that opens behind the first answer: `known` is older than the purge."""
+    """Guard: as above, and the port opens only after the first answer: `known` is older than the purge."""
     relay = start_relay(log, ring_events=MIN_RING_EVENTS, gather_ms=1_000)
     until(lambda: relay.caught_up_to(1))
     platform = gateways.start(relay)
@@ -1599,7 +1599,7 @@
 def test_a_gateway_at_a_number_never_assigned_receives_later_events(
     start_relay: StartRelay, log: ScriptedLog, gateways: Gateways, known: int
 ) -> None:
-    """Guard: a whole page is taken whatever number was held; else it would skip all news up to there."""
+    """Guard: a snapshot is applied whatever its number; otherwise events up to `known` would be skipped."""
     log.add(*(purge_event(n) for n in range(2, 301)))
     relay = start_relay(log)
     until(lambda: relay.caught_up_to(300))
@@ -1621,7 +1621,7 @@
 def test_a_relay_that_lost_its_ring_still_delivers_purges(
     start_relay: StartRelay, log: ScriptedLog, gateways: Gateways
 ) -> None:
-    """Guard: as above. The relay is killed and comes back behind a purge, holding the last events alone."""
+    """Guard: as above. The relay is killed and restarts after a purge, with only the last events."""
     log.add(*(purge_event(n) for n in range(2, 101)))
     relay = start_relay(log, ring_events=MIN_RING_EVENTS)
     until(lambda: relay.caught_up_to(100))
@@ -1637,7 +1637,7 @@
 
 
 def check_silent_log(path: Path) -> None:
-    """A gateway two tiers below a log that falls silent."""
+    """A gateway two tiers below a log that stops answering."""
     log = ScriptedLog()
     gateways = Gateways(path, log)
     upper = Relay(path, [log.address], "upper", {"current_ms": 60_000}).start()
@@ -1665,19 +1665,19 @@
         log.close()
 
 
-@pytest.mark.timing("copies rest within 6.5 s")
+@pytest.mark.timing("the gateway stops serving its own copies within 6.5 s")
 def test_a_gateway_below_a_silent_log_stops_serving_its_own_copies(
     slow_checks: Sequence[CheckThread],
 ) -> None:
-    """Guard: `Age`. Both relays answer in time all along; what is silent is the log, two tiers above."""
+    """Guard: `Age`. Both relays answer in time throughout; the log, two tiers above, is silent."""
     slow_checks[1].join_and_raise()
 
 
-@pytest.mark.timing("the purge is held within 2.4 s")
+@pytest.mark.timing("the purge is confirmed within 2.4 s")
 def test_a_gateway_whose_relay_is_killed_fails_over_to_the_other(
     start_relay: StartRelay, log: ScriptedLog, gateways: Gateways
 ) -> None:
-    """Guard: several addresses. The change-over is over when a purge told after the kill is held."""
+    """Guard: several addresses. The failover is complete when a purge sent after the kill is confirmed."""
     started = [start_relay(log), start_relay(log)]
     until(lambda: all(r.caught_up_to(1) for r in started))
     platform = gateways.start(*started)
