--- a/tests/relay/test_relay_failures.py
+++ b/tests/relay/test_relay_failures.py
@@ -410,7 +410,7 @@
     log = ScriptedLog()
     log.add(fleet_event(instance_record("s-0", "127.0.0.1:1", "std"), reset=True))
     settings = {"gather_ms": 0, "wait_ms": 100}
-    relay = Relay(tmp_path_factory.mktemp("tried"), [log.address], "tried", settings).start()
+    relay = Relay(tmp_path_factory.mktemp("replies"), [log.address], "replies", settings).start()
     yield log, relay
     if relay.program.process.poll() is None:
         relay.program.process.kill()
@@ -744,11 +744,11 @@
     start_relay: StartRelay, log: ScriptedLog, page_events: int
 ) -> None:
     """Guard: the next page starts after the last event sent; events of unknown kinds keep their numbers."""
-    line = instance_record("s-1", "127.0.0.1:1", "std")
+    instance = instance_record("s-1", "127.0.0.1:1", "std")
     kinds: list[relays.Event] = [
-        purge_event(1), {"invalidate": {"bucket": 9, "time": now_ms()}}, fleet_event(line),
+        purge_event(1), {"invalidate": {"bucket": 9, "time": now_ms()}}, fleet_event(instance),
         {"weather": {"rain": True}},
-        {}, fleet_event(line, reset=True), fleet_event(), {"invalidate": None, "fleet": None},
+        {}, fleet_event(instance, reset=True), fleet_event(), {"invalidate": None, "fleet": None},
     ]  # fmt: skip
     log.add(*(kinds[n % len(kinds)] for n in range(40)))
     relay = start_relay(log, page_events=page_events)
@@ -988,7 +988,7 @@
 def module_relay(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Relay]:
     log = ScriptedLog()
     log.add(fleet_event(instance_record("s-0", "127.0.0.1:1", "std"), reset=True))
-    relay = Relay(tmp_path_factory.mktemp("plain"), [log.address], "plain", {"gather_ms": 0}).start()
+    relay = Relay(tmp_path_factory.mktemp("requests"), [log.address], "requests", {"gather_ms": 0}).start()
     until(lambda: relay.caught_up_to(1))
     yield relay
     relay.program.process.kill()
@@ -1383,25 +1383,25 @@
 def test_a_bad_file_ends_the_process_with_one_line(tmp_path: Path, text: str) -> None:
     """Guard: as above, in a process; also an address that is not this machine's."""
     (tmp_path / "relay.toml").write_text(text)
-    ended = run_program("relay", str(tmp_path / "relay.toml"))
-    assert ended.returncode == 1 and len(ended.stderr.splitlines()) == 1, ended.stderr
+    completed = run_program("relay", str(tmp_path / "relay.toml"))
+    assert completed.returncode == 1 and len(completed.stderr.splitlines()) == 1, completed.stderr
 
 
 def test_a_port_in_use_is_one_error_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         file = tmp_path / "relay.toml"
         file.write_text(VALID_CONFIG.replace("127.0.0.1:0", "127.0.0.1:%d" % taken.getsockname()[1]))
-        ended = run_program("relay", str(file))
-    assert ended.returncode and len(ended.stderr.splitlines()) == 1, ended.stderr
+        completed = run_program("relay", str(file))
+    assert completed.returncode and len(completed.stderr.splitlines()) == 1, completed.stderr
 
 
 # 13. The status of the tree -----------------------------------------------------------------------------
 
 
 def status_output(*relay_processes: Relay) -> str:
-    ended = run_program("relay-status", *(relay.address for relay in relay_processes))
-    assert "Traceback" not in ended.stderr
-    return ended.stdout
+    completed = run_program("relay-status", *(relay.address for relay in relay_processes))
+    assert "Traceback" not in completed.stderr
+    return completed.stdout
 
 
 def test_the_lowest_confirmed_number_and_the_slowest_follower_are_named(
@@ -1445,9 +1445,9 @@
     lower[0].kill()
     log.set_handler(relays.never_answer)
     until(lambda: not lower[1].is_current())
-    ended = run_program("relay-status", *(r.address for r in (upper, *lower)))
-    assert ended.returncode == 1
-    lines = ended.stdout.splitlines()
+    completed = run_program("relay-status", *(r.address for r in (upper, *lower)))
+    assert completed.returncode == 1
+    lines = completed.stdout.splitlines()
     assert "not reached" in next(x for x in lines if lower[0].address in x)
     assert "BEHIND" in next(x for x in lines if lower[1].address in x)
 
@@ -1459,10 +1459,10 @@
         status: dict[str, Any] = {"name": f"r{index}", "follows": loop[index - 1].address, "confirmed_ms": {}}
         text = json.dumps(status).encode()
         server.reply = lambda _, text=text: response(200, text)  # type: ignore[misc]
-    ended = run_program("relay-status", *(server.address for server in loop))
-    lines = [line.split()[0] for line in ended.stdout.splitlines()]
-    assert sorted(lines) == sorted(server.address for server in loop), ended
-    assert "not reached" not in ended.stdout
+    completed = run_program("relay-status", *(server.address for server in loop))
+    lines = [line.split()[0] for line in completed.stdout.splitlines()]
+    assert sorted(lines) == sorted(server.address for server in loop), completed
+    assert "not reached" not in completed.stdout
     for server in loop:
         server.listener.close()
 
@@ -1472,9 +1472,9 @@
     texts = (b"[]", b"{}", b"\xff", b'{"follows": [1], "slowest": 5, "confirmed_ms": {"count": 1}}')
     servers = [HttpStandIn(lambda _, text=text: response(200, text)) for text in texts]  # type: ignore[misc]
     servers += [HttpStandIn(lambda _: b"garbage\r\n\r\n"), HttpStandIn(lambda _: response(500, b"no"))]
-    ended = run_program("relay-status", *(server.address for server in servers))
-    assert "Traceback" not in ended.stderr and ended.returncode == 1
-    assert all(server.address in ended.stdout for server in servers)
+    completed = run_program("relay-status", *(server.address for server in servers))
+    assert "Traceback" not in completed.stderr and completed.returncode == 1
+    assert all(server.address in completed.stdout for server in servers)
     for server in servers:
         server.listener.close()
 
