--- a/tests/relay/test_relay_failures.py
+++ b/tests/relay/test_relay_failures.py
@@ -1350,8 +1350,8 @@
         for kind, value in BAD_NUMBERS.items()
     },
     **{
-        f"{key}-zero": VALID_CONFIG + f"{key} = 0\n"
-        for key in sorted(NUMERIC_SETTINGS - {"gather_ms", "spread_ms"})
+        f"{setting}-zero": VALID_CONFIG + f"{setting} = 0\n"
+        for setting in sorted(NUMERIC_SETTINGS - {"gather_ms", "spread_ms"})
     },
 }  # fmt: skip
 
@@ -1475,8 +1475,8 @@
     completed = run_program("relay-status", *(server.address for server in servers))
     assert "Traceback" not in completed.stderr and completed.returncode == 1
     assert all(server.address in completed.stdout for server in servers)
-    for server in servers:
-        server.listener.close()
+    for stand_in in servers:
+        stand_in.listener.close()
 
 
 # A gateway that follows a relay -------------------------------------------------------------------------
