--- a/hallproxy/feed/__init__.py
+++ b/hallproxy/feed/__init__.py
@@ -1,19 +1,19 @@
 """Replication of the change log to many followers: decisions without I/O and without a clock.
 
-``source_selection`` selects the address that a follower polls. ``event_ring`` has the events and the endpoint
-list that they lead to, ``pages`` the responses built of them. ``change_log`` applies upstream pages and
-decides which page a follower gets, ``freshness`` when a relay is stale, ``confirmation`` how far followers
-have come. Times are ns of one clock that never goes back, and passed in.
+``source_selection`` selects the address that a follower polls. ``event_ring`` stores the events and the
+endpoint list that results from them, ``pages`` builds the responses. ``change_log`` applies upstream pages
+and selects each follower's page, ``freshness`` decides when a relay is stale, ``confirmation`` tracks which
+events all followers have. Times are ns of one monotonic clock, and passed in.
 """
 
-GROUPS = 256  # of objects; a purge may name one
-MS = 1_000_000
-SECOND = 1_000_000_000
+GROUP_COUNT = 256  # groups of objects that are purged together
+MS = 1_000_000  # ns
+SECOND = 1_000_000_000  # ns
 
 
 class FeedError(ValueError):
-    """A page that can't be used, with the reason. Nothing of it has been applied."""
+    """A page that can't be used; the text says why. Nothing of it has been applied."""
 
 
 class GapError(FeedError):
-    """Events are missing before those of the page."""
+    """Events are missing between those applied and those of the page, or within the page."""
--- a/hallproxy/feed/confirmation.py
+++ b/hallproxy/feed/confirmation.py
@@ -1,4 +1,4 @@
-"""How far the followers have come: one that polls from a number has all events up to it."""
+"""Tracks which events all followers have: one that polls from a number confirms all events up to it."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-MICRO = 1_000  # ns
-MAX_DELAY = 600_000_000  # µs; longer delays count as this
+MICROSECOND = 1_000  # ns
+MAX_DELAY = 600_000_000  # µs; longer delays are recorded as this
 MAX_ARRIVALS = 16_384  # upstream pages not confirmed by all followers; the oldest is dropped
 PERCENTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "max": 100.0}
 
@@ -27,14 +27,14 @@
     """Followers by their numbers, and the delays from an event's arrival to its confirmation by all."""
 
     def __init__(self) -> None:
-        self.followers_by_number: dict[int, int] = {}  # counts; no more numbers than followers
+        self.followers_by_number: dict[int, int] = {}  # counts; at most one entry per follower
         self.lowest_confirmed: int | None = None  # None: there are no followers
         self.follower_count = 0
         self._arrivals: deque[_Arrival] = deque(maxlen=MAX_ARRIVALS)
         self._delays: Any = HdrHistogram(1, MAX_DELAY, 2, word_size=4)
 
     def record_arrival(self, last_number: int, event_count: int, now: int) -> None:
-        """Record an upstream page, from whose arrival the delay of its confirmation is measured."""
+        """Record the arrival of an upstream page, from which the delay of its confirmation is measured."""
         if self.follower_count and event_count:
             self._arrivals.append(_Arrival(last_number, now, event_count))
 
@@ -70,11 +70,11 @@
     def _record_confirmed(self, now: int) -> None:
         arrivals = self._arrivals
         if self.lowest_confirmed is None:
-            arrivals.clear()  # there is no follower left to confirm them
+            arrivals.clear()  # no follower remains to confirm them
             return
         while arrivals and arrivals[0].last_number <= self.lowest_confirmed:
             arrival = arrivals.popleft()
-            delay = (now - arrival.arrived_at) // MICRO
+            delay = (now - arrival.arrived_at) // MICROSECOND
             self._delays.record_value(min(MAX_DELAY, max(1, delay)), arrival.event_count)
 
     def reset(self) -> None:
--- a/hallproxy/feed/pages.py
+++ b/hallproxy/feed/pages.py
@@ -1,4 +1,4 @@
-"""Pages as they are sent: each is built and compressed once, for all followers at the same number."""
+"""Response pages: each is built and compressed once, for all followers at the same number."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from collections import OrderedDict
 from collections.abc import Callable, Hashable
 
-MB = 1024 * 1024
+MB = 1024 * 1024  # bytes
 COMPRESSION_LEVEL = 5
-MIN_COMPRESSED = 256  # bytes under which a body is sent as it is
-MAX_PAGES = 256
-MAX_BYTES = 64 * MB
-MAX_HEADS = 8  # of one page, kept ready
+MIN_COMPRESSED = 256  # bytes; smaller bodies are not compressed
+MAX_PAGES = 256  # in the cache
+MAX_BYTES = 64 * MB  # of their bodies
+MAX_HEADS = 8  # cached for one page
 
 STATUSES = {
     200: b"OK",
@@ -23,7 +23,7 @@
 
 
 class Page:
-    """One body with its response heads; all fields but ``Age``, ``Via`` and ``Connection`` are the page's."""
+    """A body with its response heads; only ``Age``, ``Via`` and ``Connection`` differ between heads."""
 
     __slots__ = ("body", "event_count", "_fields", "_heads")
 
@@ -44,15 +44,20 @@
         if head is None:
             if len(self._heads) >= MAX_HEADS:
                 self._heads.clear()
-            ends = b"Connection: close\r\n" if close_after_response else b""
-            head = self._heads[key] = b"%bAge: %d\r\nVia: %b\r\n%b\r\n" % (self._fields, age, via, ends)
+            connection_field = b"Connection: close\r\n" if close_after_response else b""
+            head = self._heads[key] = b"%bAge: %d\r\nVia: %b\r\n%b\r\n" % (
+                self._fields,
+                age,
+                via,
+                connection_field,
+            )
         return head
 
 
-def build_page(events: bytes, last_number: int, zipped: bool, event_count: int) -> Page:
-    """A page of ``events`` joined by commas; ``last_number`` is the log's, in this page or behind it."""
+def build_page(events: bytes, last_number: int, accept_gzip: bool, event_count: int) -> Page:
+    """A page of ``events`` joined by commas; ``last_number`` is the log's last, in this page or after it."""
     body = b'{"seq":%d,"results":[%b]}' % (last_number, events)
-    if zipped and len(body) >= MIN_COMPRESSED:
+    if accept_gzip and len(body) >= MIN_COMPRESSED:
         compressor = zlib.compressobj(COMPRESSION_LEVEL, wbits=31)
         compressed = compressor.compress(body) + compressor.flush()
         if len(compressed) < len(body):
@@ -61,7 +66,7 @@
 
 
 class PageCache:
-    """The pages built last, by what they contain; limited in number and bytes."""
+    """The most recently built pages, by content; limited in number and bytes."""
 
     def __init__(self, max_pages: int = MAX_PAGES, max_bytes: int = MAX_BYTES) -> None:
         self._max_pages = max_pages
--- a/hallproxy/feed/source_selection.py
+++ b/hallproxy/feed/source_selection.py
@@ -1,4 +1,4 @@
-"""Which of several addresses a follower polls: its own order of them, backoff, and the return.
+"""Selects which of several addresses a follower polls: rendezvous order, backoff, return to preferred ones.
 
 Times are Unix ns and passed in; delays are in s.
 """
@@ -12,13 +12,13 @@
 
 Address = tuple[str, int]
 
-SECOND = 1_000_000_000
-INITIAL_BACKOFF = SECOND // 2  # ns without a connect to an address that has failed; doubled each time
+SECOND = 1_000_000_000  # ns
+INITIAL_BACKOFF = SECOND // 2  # ns; doubled with each further failure
 MAX_BACKOFF = 8 * SECOND  # ns
-FORGET_AFTER = 10 * SECOND  # ns of successes after which former failures are forgotten
-RETURN_DELAY = 5.0, 15.0  # s, from and to: a preferred address is tried after a random time between
-LATER_SPREAD = 0.25  # the part of the spread used from the second failure in a row on
-ALL_FAILED_DELAY = 0.5  # s; once all have failed, delays are drawn from this to three times this
+FORGET_AFTER = 10 * SECOND  # ns of successes after which an address's failures are forgotten
+RETURN_DELAY = 5.0, 15.0  # s; range of the random delay before a preferred address is tried
+LATER_SPREAD = 0.25  # fraction of the spread used from the second consecutive failure on
+ALL_FAILED_DELAY = 0.5  # s; once all have failed, delays are from this to three times this
 
 
 def rendezvous_order(name: str, addresses: Iterable[Address]) -> tuple[Address, ...]:
@@ -28,8 +28,8 @@
     spread evenly over the others, as nothing else in their orders changes.
     """
 
-    def weight(where: Address) -> bytes:
-        return hashlib.blake2b(f"{name}\0{where[0]}:{where[1]}".encode(), digest_size=16).digest()
+    def weight(address: Address) -> bytes:
+        return hashlib.blake2b(f"{name}\0{address[0]}:{address[1]}".encode(), digest_size=16).digest()
 
     return tuple(sorted(addresses, key=weight, reverse=True))
 
@@ -45,7 +45,7 @@
 class SourceSelection:
     """Selects the address that one follower polls.
 
-    ``spread`` (s): the time over which followers that lose an address together reconnect elsewhere.
+    ``spread`` (s): the time over which followers that lose an address together reconnect to others.
     """
 
     name: str
@@ -65,8 +65,8 @@
     def select(self, now: int) -> Address:
         """The first in the order that does not back off; if all do, the one whose backoff ends first.
 
-        Those that have failed since the last success come after the others: a backoff may be over before a
-        second silent address has timed out, and a third would never be tried.
+        Those that have failed since the last success come last: otherwise, as a backoff may end before a
+        second silent address has timed out, a third would never be tried.
         """
         available = [address for address in self._order if not self._backs_off(address, now)]
         if available:
@@ -80,14 +80,14 @@
     def record_failure(self, address: Address, now: int) -> float:
         """Start the address's backoff. Returns the delay (s) before the next connect to any address.
 
-        The first delay spreads the followers that lose one address together; they are spread already when
-        they lose the next one. Once all addresses have failed, delays are long.
+        The first delay spreads the followers that lose an address together; at the next failure they are
+        spread already. Once all addresses have failed, delays are long.
         """
         former = self._backoffs.get(address)
         duration = min(MAX_BACKOFF, former.duration * 2) if former is not None else INITIAL_BACKOFF
         self._backoffs[address] = _Backoff(duration, now + duration)
         if address != self._current:
-            return 0.0  # a preferred address that was tried beside the current one
+            return 0.0  # a preferred address that was tried in parallel to the current one
         self._failures_in_row += 1
         self._failed_in_round.add(address)
         if len(self._failed_in_round) == len(self._order):
@@ -96,13 +96,13 @@
 
     def _connect_delay(self) -> float:
         if self._failures_in_row >= max(2, len(self._order)):
-            least = max(self.spread, ALL_FAILED_DELAY)
-            return self.random.uniform(least, 3 * least)
+            min_delay = max(self.spread, ALL_FAILED_DELAY)
+            return self.random.uniform(min_delay, 3 * min_delay)
         first = self._failures_in_row == 1
         return self.random.uniform(0.0, self.spread if first else self.spread * LATER_SPREAD)
 
     def record_success(self, address: Address, now: int) -> None:
-        """Follow the address; its former failures are forgotten once successes have lasted."""
+        """Make the address the current one; forget its failures after ``FORGET_AFTER`` of successes."""
         self._failures_in_row = 0
         self._failed_in_round.clear()
         self._set_current(address, now)
@@ -118,7 +118,7 @@
         return any(other != address and other not in self._failed_in_round for other in self._order)
 
     def preferred(self, now: int) -> Address | None:
-        """The first address before the current one that does not back off, at a random time of its own."""
+        """The first address before the current one not in backoff, once the random delay has passed."""
         if self._current is None or self._current == self._order[0] or now < self._return_at:
             return None
         for address in self._order[: self._order.index(self._current)]:
--- a/hallproxy/relay/status.py
+++ b/hallproxy/relay/status.py
@@ -38,7 +38,7 @@
         "follows": None if upstream.where is None else text(upstream.where),
         "via": list(current.upstream_relays),
         "current": not current.is_stale(now),
-        "behind_ms": None if never else (now - current.upstream_heard_at) // MS,
+        "behind_ms": None if never else (now - current.upstream_polled_at) // MS,
         "age": None if never else current.age_seconds(now),
         "life": log.incarnation,
         "doubtful": log.ambiguous,
--- a/tests/feed/test_feed.py
+++ b/tests/feed/test_feed.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hallproxy.feed import GROUPS, MS, SECOND, FeedError, GapError
+from hallproxy.feed import GROUP_COUNT, MS, SECOND, FeedError, GapError
 from hallproxy.feed.change_log import ChangeLog, ChangeLogLimits, PageKind
 from hallproxy.feed.confirmation import ConfirmationTracker
 from hallproxy.feed.event_ring import EventRing, is_snapshot
@@ -118,10 +118,10 @@
     told = read(log.snapshot_page(zipped, False))
     results = told["results"]
     assert is_snapshot(results)
-    assert [e["seq"] for e in results] == list(range(len(events) - GROUPS, len(events) + 1))
+    assert [e["seq"] for e in results] == list(range(len(events) - GROUP_COUNT, len(events) + 1))
     members, generation = replay(events)
     assert replay(results) == (members, generation)
-    assert {e["invalidate"]["bucket"] for e in results[1:]} == set(range(GROUPS))
+    assert {e["invalidate"]["bucket"] for e in results[1:]} == set(range(GROUP_COUNT))
     assert {e["invalidate"]["time"] for e in results[1:]} == {log.ring.latest_purge}
     assert not any(e["invalidate"]["object"] for e in results[1:])
     # Who takes it goes on from its end, whatever it held.
@@ -144,7 +144,7 @@
         told.apply(broken)
     assert (told.last_number, told.events, told.endpoints, told.has_endpoint_list) == (0, [], {}, False)
     # Where the log has nothing to fill it with, only what comes behind it is told one by one.
-    told.apply(broken, gaps=True)
+    told.apply(broken, allow_gaps=True)
     assert told.last_number == len(first) and told.first_number == at + missing + 1
     assert told.endpoints == replay(broken)[0]
 
@@ -209,7 +209,7 @@
 def test_an_endpoint_list_over_its_limit_is_rejected_completely() -> None:
     told = EventRing(max_endpoints=3)
     told.apply(numbered([fleet(*(line(n) for n in "abc"), reset=True)]))
-    with pytest.raises(FeedError, match="over 3 members"):
+    with pytest.raises(FeedError, match="more than 3 endpoints"):
         told.apply(numbered([purge(1), fleet(line("d"))], 1))
     assert told.last_number == 1 and sorted(told.endpoints) == ["a", "b", "c"]
     told.apply(numbered([fleet(line("a", "Gone"), line("d"))], 1))
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from hallproxy.feed import GROUPS
+from hallproxy.feed import GROUP_COUNT
 from hallproxy.feed.event_ring import is_snapshot
 from hallproxy.relay.front import MAX_STATUS_CONNECTIONS
 from tests.support.gateway import DEADLINE, ROOT, ChangeLog, Program, instance_record, now_ms, until
@@ -249,7 +249,7 @@
     assert numbers(relay.changes(602 - 512)[2]) == list(range(602 - 511, 603))
     for since, wait in ((0, 0), (89, 0), (89, 5000), (603, 0), (10**9, 5000)):
         page = relay.changes(since, wait)[2]
-        assert is_snapshot(page["results"]) and numbers(page) == list(range(602 - GROUPS, 603))
+        assert is_snapshot(page["results"]) and numbers(page) == list(range(602 - GROUP_COUNT, 603))
         fleet = page["results"][0]["fleet"]
         assert fleet["reset"] and fleet["generation"] == 7
         assert [line["instanceId"] for line in fleet["instances"]] == ["a", "b", "c"]
