--- a/hallproxy/feed/pages.py
+++ b/hallproxy/feed/pages.py
@@ -72,7 +72,7 @@
         self._max_pages = max_pages
         self._max_bytes = max_bytes
         self._pages: OrderedDict[Hashable, Page] = OrderedDict()
-        self.bytes = 0
+        self.byte_count = 0
         self.build_count = 0
 
     def __len__(self) -> int:
@@ -85,16 +85,16 @@
             return page
         page = self._pages[key] = build()
         self.build_count += 1
-        self.bytes += len(page.body)
+        self.byte_count += len(page.body)
         # First in, first out: a page is requested when it is new, and hardly ever later.
         while len(self._pages) > 1 and self._over_limit():
-            self.bytes -= len(self._pages.popitem(last=False)[1].body)
+            self.byte_count -= len(self._pages.popitem(last=False)[1].body)
         return page
 
     def _over_limit(self) -> bool:
-        return len(self._pages) > self._max_pages or self.bytes > self._max_bytes
+        return len(self._pages) > self._max_pages or self.byte_count > self._max_bytes
 
     def clear(self) -> None:
         """Drop all pages."""
         self._pages.clear()
-        self.bytes = 0
+        self.byte_count = 0
--- a/hallproxy/relay/__init__.py
+++ b/hallproxy/relay/__init__.py
@@ -1,5 +1,6 @@
-"""The relay of the change log: it follows the log, or another relay, and serves the same to many.
+"""The relay of the change log: it follows the log, or another relay, and serves it to many followers.
 
-``front`` has its connections, ``upstream`` the one it follows, ``config`` its file, ``serve`` its start and
-stop, ``status`` what it says of itself. What is decided is decided in ``hallproxy.feed``.
+``front`` serves followers' connections, ``upstream`` polls the log or relay above, ``config`` reads the
+configuration file, ``serve`` starts and stops the relay, ``status`` reports its state. Decisions are made in
+``hallproxy.feed``.
 """
--- a/hallproxy/relay/config.py
+++ b/hallproxy/relay/config.py
@@ -1,4 +1,4 @@
-"""The relay's file."""
+"""The relay's configuration file."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from hallproxy.run.config import Address, ConfigError, address, read_toml
 from hallproxy.run.log import log_line
 
-NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")
-LOOPBACK, ANY = "127.0.0.1", "0.0.0.0"
-RESERVE = 48  # descriptors for the listener, the one followed, the log and what is just being closed
-# Key: least, most, where the file does not say.
-NUMBERS = {
+NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}")
+LOOPBACK, ANY_HOST = "127.0.0.1", "0.0.0.0"
+RESERVED_DESCRIPTORS = 48  # for the listener, the upstream, the log and connections being closed
+# Key: minimum, maximum, default.
+INTEGER_SETTINGS = {
     "gather_ms": (0, 5_000, 250),
     "ring_events": (512, 1_048_576, 16_384),
     "page_events": (1, 65_536, 4_096),
@@ -26,7 +26,7 @@
     "spread_ms": (0, 60_000, 500),
     "wait_ms": (10, 5_000, 500),
 }
-KEYS = {"name", "listen", "upstream", *NUMBERS}
+KEYS = {"name", "listen", "upstream", *INTEGER_SETTINGS}
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,47 +34,47 @@
     """A relay's settings.
 
     Attributes:
-        followers: connections.
-        current: ns without word from upstream after which the relay is stale.
-        spread: ms over which followers of a lost upstream choose another.
-        wait: ms that a poll upstream may be held.
+        max_followers: the maximum of followers' connections.
+        max_age: ns without a complete upstream response after which the relay is stale.
+        spread_ms: the time over which followers that lose an upstream together reconnect to others.
+        wait_ms: the time that the upstream may let a poll wait.
     """
 
     name: str
     listen: Address
     upstream: tuple[Address, ...]
-    bounds: ChangeLogLimits
-    followers: int  # connections
-    current: int  # ns
-    spread: int  # ms
-    wait: int  # ms
+    limits: ChangeLogLimits
+    max_followers: int
+    max_age: int  # ns
+    spread_ms: int
+    wait_ms: int
 
 
 def load(path: Path) -> RelayConfig:
-    """Read the file; ConfigError, one plain line, if it cannot be used."""
-    top = read_toml(path)
+    """Read and check the file; ConfigError, in one line, if it is invalid."""
+    settings = read_toml(path)
     try:
-        for key in top:
+        for key in settings:
             if key not in KEYS:
                 raise ConfigError(f"unknown key {key!r}")
-        name, listen = _text(top, "name"), _address("listen", _text(top, "listen"))
-        if not NAME.fullmatch(name):
+        name, listen = _string(settings, "name"), _parse_address("listen", _string(settings, "listen"))
+        if not NAME_PATTERN.fullmatch(name):
             raise ConfigError(f"name {name!r} is not 1 to 64 letters, digits, dots, hyphens and underscores")
-        numbers = {key: _number(top, key) for key in NUMBERS}
+        values = {key: _integer(settings, key) for key in INTEGER_SETTINGS}
         return RelayConfig(
             name=name,
             listen=listen,
-            upstream=_upstream(top["upstream"], listen),
-            bounds=ChangeLogLimits(
-                gather_delay=numbers["gather_ms"] * MS,
-                max_events=numbers["ring_events"],
-                max_page_events=numbers["page_events"],
-                max_endpoints=numbers["members"],
+            upstream=_upstream(settings["upstream"], listen),
+            limits=ChangeLogLimits(
+                gather_delay=values["gather_ms"] * MS,
+                max_events=values["ring_events"],
+                max_page_events=values["page_events"],
+                max_endpoints=values["members"],
             ),
-            followers=numbers["followers"],
-            current=numbers["current_ms"] * MS,
-            spread=numbers["spread_ms"],
-            wait=numbers["wait_ms"],
+            max_followers=values["followers"],
+            max_age=values["current_ms"] * MS,
+            spread_ms=values["spread_ms"],
+            wait_ms=values["wait_ms"],
         )
     except KeyError as error:
         raise ConfigError(f"{path}: {error} is missing") from None
@@ -82,22 +82,22 @@
         raise ConfigError(f"{path}: {error}") from None
 
 
-def _text(top: dict[str, object], key: str) -> str:
-    value = top[key]
+def _string(settings: dict[str, object], key: str) -> str:
+    value = settings[key]
     if not isinstance(value, str):
-        raise ConfigError(f"{key} is {value!r}, not a text")
+        raise ConfigError(f"{key} is {value!r}, not a string")
     return value
 
 
-def _number(top: dict[str, object], key: str) -> int:
-    least, most, default = NUMBERS[key]
-    value = top.get(key, default)
-    if type(value) is not int or not least <= value <= most:
-        raise ConfigError(f"{key} is {value!r}, not from {least} to {most}")
+def _integer(settings: dict[str, object], key: str) -> int:
+    minimum, maximum, default = INTEGER_SETTINGS[key]
+    value = settings.get(key, default)
+    if type(value) is not int or not minimum <= value <= maximum:
+        raise ConfigError(f"{key} is {value!r}, not an integer from {minimum} to {maximum}")
     return value
 
 
-def _address(key: str, value: object) -> Address:
+def _parse_address(key: str, value: object) -> Address:
     try:
         return address(value)
     except ConfigError as error:
@@ -106,29 +106,29 @@
 
 def _upstream(value: object, listen: Address) -> tuple[Address, ...]:
     if not isinstance(value, list) or not value or not all(isinstance(v, str) for v in value):
-        raise ConfigError('upstream needs a list of addresses, ["host:port", ...]')
-    found = tuple(_address("upstream", v) for v in value)
-    if len(set(found)) < len(found):
-        raise ConfigError("upstream names an address twice")
-    own = {LOOPBACK, ANY} if _local(listen[0]) in (LOOPBACK, ANY) else {listen[0]}
-    for host, port in found:
-        # Loops through other relays show by their ``Via``; this one can be told at once.
-        if port == listen[1] and _local(host) in own:
-            raise ConfigError(f"upstream names the relay's own address {host}:{port}")
-    if any(port == 0 for _, port in found):
-        raise ConfigError("upstream names an address with port 0")
-    return found
-
-
-def _local(host: str) -> str:
+        raise ConfigError('upstream is not a list of one or more addresses, ["host:port", ...]')
+    addresses = tuple(_parse_address("upstream", v) for v in value)
+    if len(set(addresses)) < len(addresses):
+        raise ConfigError("upstream contains an address twice")
+    own_hosts = {LOOPBACK, ANY_HOST} if _normalized_host(listen[0]) in (LOOPBACK, ANY_HOST) else {listen[0]}
+    for host, port in addresses:
+        # Loops through other relays are detected by ``Via``; this one can be rejected here.
+        if port == listen[1] and _normalized_host(host) in own_hosts:
+            raise ConfigError(f"upstream contains the relay's own address {host}:{port}")
+    if any(port == 0 for _, port in addresses):
+        raise ConfigError("upstream contains an address with port 0")
+    return addresses
+
+
+def _normalized_host(host: str) -> str:
     return LOOPBACK if host == "localhost" else host
 
 
-def connections(followers: int) -> int:
-    """As many as the system's own limit leaves: what is over it can't be opened whatever the file says."""
+def connection_limit(max_followers: int) -> int:
+    """``max_followers``, or as many as the descriptor limit allows: further ones could not be opened."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    if limit == resource.RLIM_INFINITY or followers <= limit - RESERVE:
-        return followers
-    found = max(1, limit - RESERVE)
-    log_line(f"followers: {found} of {followers}, as the system allows {limit} descriptors")
-    return found
+    if limit == resource.RLIM_INFINITY or max_followers <= limit - RESERVED_DESCRIPTORS:
+        return max_followers
+    allowed = max(1, limit - RESERVED_DESCRIPTORS)
+    log_line(f"followers: {allowed} instead of {max_followers}, as the process may open {limit} descriptors")
+    return allowed
--- a/hallproxy/relay/connection.py
+++ b/hallproxy/relay/connection.py
@@ -1,4 +1,4 @@
-"""A follower's connection: its state, what has been read of it, and its poll."""
+"""A follower's connection: its state, the bytes read from it, and its poll."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 
 class ConnectionState(Enum):
-    """What a connection is doing."""
+    """The state of a connection."""
 
-    IDLE = "idle"  # no request is being answered
-    HELD = "held"  # its poll waits for events
-    SENDING = "sending"  # a response waits for the peer to read
-    ENDING = "ending"  # our end is closed
+    IDLE = "idle"  # no request in progress
+    WAITING = "waiting"  # its poll waits for events
+    SENDING = "sending"  # a response is not completely sent yet
+    ENDING = "ending"  # half-closed: what the peer still sends is discarded
     CLOSED = "closed"
 
 
 class Connection:
-    """One connection. Times in ns.
+    """One connection. Times are in ns.
 
     Attributes:
         fd: the descriptor, also once the stream is closed.
         peer: its address, for log lines.
-        generation: changes with the state: timers of an earlier generation are void.
+        generation: changes with the state; timers of an earlier generation are void.
         buffer: bytes read and not parsed yet.
-        streamed: whether it is read through its stream, because a response had to wait there.
+        streamed: whether it is read through its stream, because a response was not sent at once.
         reading: whether such a read is in progress.
-        paused: whether the event loop does not watch it for bytes.
-        last_request_at: the last request, or the connect.
+        paused: whether it is not registered with the event loop for reading.
+        last_request_at: the time of the last request, or of the connect.
         confirmed_number: the event number that the follower has confirmed; None: it has not polled.
-        log_incarnation: the incarnation of the log in which it was last answered.
+        log_incarnation: the incarnation of the log in the last response; -1: none.
         since: the poll's event number.
         answer_at_once: whether the poll is to be answered without waiting.
         accepts_gzip: whether the poll accepts gzip.
         close_after_response: whether the connection ends with the response.
-        drained_bytes: bytes read since our end was closed.
-        status_only: whether it is above the limit of followers and may only request the status.
+        drained_bytes: bytes read since it was half-closed.
+        status_only: whether it exceeds the limit of followers and may only request the status.
     """
 
     __slots__ = (
--- a/hallproxy/relay/front.py
+++ b/hallproxy/relay/front.py
@@ -1,8 +1,8 @@
-"""The relay's server side: polls are read, held and answered.
+"""The relay's server side: reads polls, lets them wait for events and answers them.
 
-There is no task for a connection and no timer for a poll: a connection is read when the event loop reports
-bytes, held polls are in one table, and deadlines are checked every ``TICK``. With thousands of polls a
-second, each further iteration of the loop would cost more than the answer.
+No connection has a task and no poll a timer: a connection is read when the event loop reports bytes, waiting
+polls are in one table, and deadlines are checked every ``TICK``. With thousands of polls a second, each
+further iteration of the loop would cost more than the response.
 """
 
 from __future__ import annotations
@@ -28,58 +28,63 @@
 from hallproxy.run.sockets import tcp_stream
 from hallproxy.wire.http1 import Head, HttpError, decode_request_head
 
-MAX_HEAD_BYTES = 4_096  # bytes of a request's head
-HEAD_TIMEOUT = 5 * SECOND  # from the connect, or from its first byte
-SEND_TIMEOUT = 2 * SECOND  # for the peer to read a response
-IDLE_TIMEOUT = 60 * SECOND  # without a poll
-MAX_POLL_WAIT_MS = 5_000  # that a poll is held
-AHEAD_WAIT = 400 * MS  # for a number above the last one, which a relay that is ahead may have sent
-HELD_UP_AFTER = 5 * TICK  # without a tick: the process was held up, and its upstream not read meanwhile
-CATCH_UP_TIME = AHEAD_WAIT  # then, in which the upstream is heard again before a poll is answered with 503
-LINGER_TIMEOUT = 500 * MS  # from our end of a connection to its close, ...
-MAX_DRAINED_BYTES = 262_144  # ...or so many bytes of what it still sends
-MAX_ENDING_CONNECTIONS = 256  # further ones are closed at once
+MAX_HEAD_BYTES = 4_096  # of a request
+HEAD_TIMEOUT = 5 * SECOND  # ns from the connect, or from the first byte of a later head
+SEND_TIMEOUT = 2 * SECOND  # ns for the peer to read a response
+IDLE_TIMEOUT = 60 * SECOND  # ns without a request
+MAX_POLL_WAIT_MS = 5_000  # the longest that a poll waits
+AHEAD_WAIT = 400 * MS  # ns for a number above the last one, which a relay that is ahead may have sent
+STALL_THRESHOLD = 5 * TICK  # ns without a tick: the process has stalled, and its upstream was not read
+CATCH_UP_TIME = AHEAD_WAIT  # ns after a stall to read the upstream before polls are answered with 503
+LINGER_TIMEOUT = 500 * MS  # ns from the half-close of a connection to its close
+MAX_DRAINED_BYTES = 262_144  # read from a half-closed connection before it is closed
+MAX_ENDING_CONNECTIONS = 256  # further connections are closed without lingering
 IDLE_CHECK_TICKS = 50  # between checks for idle connections
-ANSWER_BATCH = 64  # held polls answered in one turn of the event loop
-MAX_STATUS_CONNECTIONS = 8  # above the limit, for the status alone
-STOPPING_IDLE_TIMEOUT = 500 * MS  # after SIGTERM, without a request
+ANSWER_BATCH = 64  # waiting polls answered in one iteration of the event loop
+MAX_STATUS_CONNECTIONS = 8  # above the limit of followers, for status requests only
+STOPPING_IDLE_TIMEOUT = 500 * MS  # ns without a request after SIGTERM
 
 _READ_BUFFER = bytearray(MAX_HEAD_BYTES)
 _READ_VIEW = memoryview(_READ_BUFFER)
 
 COUNTERS = ("polls", "plain", "whole", "empty", "behind", "bad", "turned_away", "bytes")
 
-HELD_KINDS = (PageKind.UP_TO_DATE, PageKind.AHEAD, PageKind.UNKNOWN)
+WAITING_KINDS = (PageKind.UP_TO_DATE, PageKind.AHEAD, PageKind.UNKNOWN)
 
 
 class Front:
-    """Connections of followers, and their polls.
+    """Serves the connections of followers, and their polls.
 
     Attributes:
         log: the change log that is served.
-        current: how fresh the log is.
-        confirmed: the numbers that followers have confirmed.
-        followers: the most connections served; further ones are rejected.
-        status: returns what ``/status`` reports.
-        connections: all that are open.
-        held: those whose poll waits for events.
-        counts: responses and bytes by kind, as reported.
+        freshness: the age of the log.
+        confirmations: the numbers that followers have confirmed.
+        max_followers: the maximum of connections served; further ones are rejected.
+        report_status: returns the report for ``/status``.
+        connections: all open connections.
+        waiting: those whose poll waits for events.
+        counters: responses and bytes by kind, as reported.
         stopping: whether each connection ends with its next response.
     """
 
     def __init__(
         self,
         log: ChangeLog,
-        current: Freshness,
-        confirmed: ConfirmationTracker,
-        followers: int,
+        freshness: Freshness,
+        confirmations: ConfirmationTracker,
+        max_followers: int,
         now: Callable[[], int],
     ) -> None:
-        self.log, self.current, self.confirmed, self.followers = log, current, confirmed, followers
-        self.status: Callable[[], dict[str, Any]] = dict
+        self.log, self.freshness, self.confirmations, self.max_followers = (
+            log,
+            freshness,
+            confirmations,
+            max_followers,
+        )
+        self.report_status: Callable[[], dict[str, Any]] = dict
         self.connections: dict[Connection, None] = {}
-        self.held: dict[Connection, None] = {}
-        self.counts = dict.fromkeys(COUNTERS, 0)
+        self.waiting: dict[Connection, None] = {}
+        self.counters = dict.fromkeys(COUNTERS, 0)
         self.stopping = False
         self._stopping_since = 0
         self._now = now
@@ -87,9 +92,9 @@
         self._ending: dict[Connection, None] = {}
         self._timers = TimerWheel(now())
         self._ticks_since_idle_check = 0
-        self._to_answer: list[Connection] = []  # held polls, the next one last
+        self._answer_queue: list[Connection] = []  # waiting polls, the next one last
         self._is_answering = False
-        self._was_behind = True
+        self._was_stale = True
         self._ticked_at = now()
         self._catch_up_until = 0  # ns
         self._timer = self._loop.call_later(TICK / SECOND, self._on_tick)
@@ -97,30 +102,30 @@
     # Connections
 
     def accept(self, sock: socket.socket, peer: tuple[str, int]) -> None:
-        """Serve a connection, or reject it where there are too many."""
+        """Serve a connection, or reject it above the limit."""
         sock.setblocking(False)
         try:
-            made = tcp_stream(sock)
+            stream = tcp_stream(sock)
         except OSError:  # the peer has disconnected already
             sock.close()
             return
-        connection = Connection(made, f"{peer[0]}:{peer[1]}", self._now())
+        connection = Connection(stream, f"{peer[0]}:{peer[1]}", self._now())
         self.connections[connection] = None
         self._loop.add_reader(connection.fd, self._readable, connection)
-        over = len(self.connections) - len(self._ending) - self.followers
-        if over > MAX_STATUS_CONNECTIONS:
+        excess = len(self.connections) - len(self._ending) - self.max_followers
+        if excess > MAX_STATUS_CONNECTIONS:
             self._reject_overloaded(connection)
             return
-        # The status of a relay at its limit must be available to operators.
-        connection.status_only = over > 0
+        # The status must stay available to operators when the limit is reached.
+        connection.status_only = excess > 0
         self._timers.schedule(connection, connection.last_request_at + HEAD_TIMEOUT)
 
     def _reject_overloaded(self, connection: Connection) -> None:
-        self.counts["turned_away"] += 1
+        self.counters["turned_away"] += 1
         self._respond(connection, 503, True, b"Retry-After: 1\r\n")
 
     def free_descriptor(self) -> bool:
-        """Close a connection that is ending anyway; whether there was one."""
+        """Close a connection that is ending anyway; returns whether there was one."""
         for connection in self._ending:
             self._close(connection)
             return True
@@ -133,18 +138,18 @@
         if not connection.streamed and not connection.paused:
             self._loop.remove_reader(connection.fd)
         self.connections.pop(connection, None)
-        self.held.pop(connection, None)
+        self.waiting.pop(connection, None)
         self._ending.pop(connection, None)
         connection.stream.close()
         self._forget_follower(connection)
 
     def _forget_follower(self, connection: Connection) -> None:
         if connection.confirmed_number is not None:
-            self.confirmed.move_follower(connection.confirmed_number, None, self._now())
+            self.confirmations.move_follower(connection.confirmed_number, None, self._now())
             connection.confirmed_number = None
 
     def _end_gracefully(self, connection: Connection) -> None:
-        """End after all that was written: closing with unread bytes would discard it by a reset."""
+        """Half-close after pending writes; closing with unread bytes would discard them by a reset."""
         if connection.stream.closed() or (len(self._ending) >= MAX_ENDING_CONNECTIONS and not self.stopping):
             self._close(connection)
             return
@@ -156,49 +161,49 @@
         self._timers.schedule(connection, self._now() + LINGER_TIMEOUT)
         self._resume_reading(connection)
 
-    # Times
+    # Timers
 
     def _on_tick(self) -> None:
         self._timer = self._loop.call_later(TICK / SECOND, self._on_tick)
         now = self._now()
         for connection in self._timers.expired(now):
-            self._safely(self._on_timer, connection, now)
-        behind = self.current.is_stale(now) and not self._may_recover(now)
+            self._handle_safely(self._on_timer, connection, now)
+        stale = self.freshness.is_stale(now) and not self._may_recover(now)
         self._ticked_at = now
-        if behind and not self._was_behind and self.held:
-            self.answer_held()
-        self._was_behind = behind
+        if stale and not self._was_stale and self.waiting:
+            self.answer_waiting_polls()
+        self._was_stale = stale
         self._ticks_since_idle_check += 1
         if self._ticks_since_idle_check >= IDLE_CHECK_TICKS or self.stopping:
             self._ticks_since_idle_check = 0
             self._end_idle_connections(now)
 
     def _is_catching_up(self, now: int) -> bool:
-        """Whether the process was held up so lately that its upstream may not have been read since."""
-        if now - self._ticked_at > HELD_UP_AFTER:
+        """Whether the process stalled so recently that its upstream may not have been read since."""
+        if now - self._ticked_at > STALL_THRESHOLD:
             self._catch_up_until = now + CATCH_UP_TIME
         return now < self._catch_up_until
 
     def _may_recover(self, now: int) -> bool:
-        """Whether the log is stale only because the process was held up, so that polls wait a moment."""
-        return self.current.is_stale(now) and self._is_catching_up(now) and not self.stopping
+        """Whether the log may be stale only because the process stalled; polls wait for the upstream then."""
+        return self.freshness.is_stale(now) and self._is_catching_up(now) and not self.stopping
 
     def _on_timer(self, connection: Connection, now: int) -> None:
-        if connection.state is ConnectionState.HELD:
+        if connection.state is ConnectionState.WAITING:
             if self._may_recover(now):
                 self._timers.schedule(connection, self._catch_up_until)
             else:
                 self._answer(connection, now, waited=True)
         else:
-            self._close(connection)  # a head or a response took too long, or the connection was ending
+            self._close(connection)  # a request head, a response or the peer's close took too long
 
     def _end_idle_connections(self, now: int) -> None:
         """End connections without a request for too long."""
-        longest = STOPPING_IDLE_TIMEOUT if self.stopping else IDLE_TIMEOUT
+        timeout = STOPPING_IDLE_TIMEOUT if self.stopping else IDLE_TIMEOUT
         for connection in list(self.connections):
             if (
                 connection.state is ConnectionState.IDLE
-                and now - max(connection.last_request_at, self._stopping_since) > longest
+                and now - max(connection.last_request_at, self._stopping_since) > timeout
             ):
                 self._end_gracefully(connection)
 
@@ -218,19 +223,19 @@
             self._loop.remove_reader(connection.fd)
 
     def _readable(self, connection: Connection) -> None:
-        if connection.state is ConnectionState.HELD:
-            # Only its end matters; other bytes stay unread until the poll is answered.
+        if connection.state is ConnectionState.WAITING:
+            # Only a close matters; other bytes stay unread until the poll is answered.
             if self._peer_has_closed(connection):
                 self._close(connection)
             else:
                 self._pause_reading(connection)
             return
-        room = MAX_HEAD_BYTES - len(connection.buffer)
-        if not room:
+        free = MAX_HEAD_BYTES - len(connection.buffer)
+        if not free:
             self._parse_next(connection)
             return
         try:
-            size = connection.stream.read_available(_READ_VIEW[:room])
+            size = connection.stream.read_available(_READ_VIEW[:free])
         except StreamClosedError:
             self._close(connection)
             return
@@ -242,7 +247,7 @@
         if connection.state is ConnectionState.IDLE and not connection.buffer:
             poll = COMMON_POLL.fullmatch(_READ_BUFFER, 0, size)
             if poll is not None:
-                self._poll(connection, int(poll[1]), int(poll[2]), poll[3] is not None, False)
+                self._on_poll(connection, int(poll[1]), int(poll[2]), poll[3] is not None, False)
                 return
         self._on_bytes(connection, _READ_BUFFER[:size])
 
@@ -263,7 +268,7 @@
             or connection.state is ConnectionState.CLOSED
         ):
             return
-        into = bytearray(MAX_HEAD_BYTES - len(connection.buffer))
+        buffer = bytearray(MAX_HEAD_BYTES - len(connection.buffer))
 
         def done(read: asyncio.Future[int]) -> None:
             connection.reading = False
@@ -271,10 +276,10 @@
                 self._close(connection)
                 return
             if connection.state is not ConnectionState.CLOSED:
-                self._on_bytes(connection, into[: read.result()])
+                self._on_bytes(connection, buffer[: read.result()])
 
         try:
-            reading = connection.stream.read_into(into, partial=True)
+            reading = connection.stream.read_into(buffer, partial=True)
         except StreamClosedError:
             self._close(connection)
             return
@@ -289,12 +294,12 @@
             elif connection.streamed:
                 self._read_stream(connection)
             return
-        began = not connection.buffer
+        was_empty = not connection.buffer
         connection.buffer += data
         self._parse_next(connection)
         if connection.state is ConnectionState.IDLE:
             if (
-                connection.buffer and began and connection.generation
+                connection.buffer and was_empty and connection.generation
             ):  # the first head's timeout runs from the connect
                 connection.generation += 1
                 self._timers.schedule(connection, self._now() + HEAD_TIMEOUT)
@@ -312,7 +317,7 @@
                     self._reject(connection, 400, True)
                 return
             if head.body_length:
-                raise HttpError("a body")
+                raise HttpError("request has a body")
         except HttpError:
             self._reject(connection, 400, True)
             return
@@ -326,96 +331,96 @@
             return
         if isinstance(request, StatusRequest):
             connection.last_request_at = self._now()
-            body = json.dumps(self.status()).encode()
+            body = json.dumps(self.report_status()).encode()
             self._respond(
                 connection, 200, request.close_after_response, b"Content-Type: application/json\r\n", body
             )
             return
-        self._poll(
+        self._on_poll(
             connection, request.since, request.timeout, request.accepts_gzip, request.close_after_response
         )
 
     def _reject(self, connection: Connection, status: int, close_after_response: bool) -> None:
-        self.counts["bad"] += 1
+        self.counters["bad"] += 1
         self._respond(connection, status, close_after_response, b"Allow: GET\r\n" if status == 405 else b"")
 
     # Answering
 
-    def _poll(
-        self, connection: Connection, since: int, wait: int, zipped: bool, close_after_response: bool
+    def _on_poll(
+        self, connection: Connection, since: int, wait: int, accepts_gzip: bool, close_after_response: bool
     ) -> None:
         if connection.status_only:
             self._reject_overloaded(connection)
             return
         now = connection.last_request_at = self._now()
         log = self.log
-        self.counts["polls"] += 1
+        self.counters["polls"] += 1
         connection.since, connection.accepts_gzip, connection.close_after_response = (
             since,
-            zipped,
+            accepts_gzip,
             close_after_response,
         )
         connection.answer_at_once = not wait or self.stopping
         connection.generation += 1
-        found = log.page_kind(since, connection.log_incarnation, connection.answer_at_once)
-        if found is PageKind.EVENTS or found is PageKind.UP_TO_DATE:
+        kind = log.page_kind(since, connection.log_incarnation, connection.answer_at_once)
+        if kind is PageKind.EVENTS or kind is PageKind.UP_TO_DATE:
             connection.log_incarnation = log.incarnation
-            held = min(since, log.ring.last_number)
+            confirmed_number = min(since, log.ring.last_number)
         else:
-            held = min(since, log.ring.first_number - 1)
-        if held != connection.confirmed_number:
-            self.confirmed.move_follower(connection.confirmed_number, held, now)
-            connection.confirmed_number = held
-        behind = self.current.is_stale(now)
+            confirmed_number = min(since, log.ring.first_number - 1)
+        if confirmed_number != connection.confirmed_number:
+            self.confirmations.move_follower(connection.confirmed_number, confirmed_number, now)
+            connection.confirmed_number = confirmed_number
+        stale = self.freshness.is_stale(now)
         if self._may_recover(now):
             wait = CATCH_UP_TIME // MS
-        elif found is PageKind.AHEAD and not self.stopping and not behind:
+        elif kind is PageKind.AHEAD and not self.stopping and not stale:
             connection.log_incarnation = log.incarnation
             wait = min(wait or MAX_POLL_WAIT_MS, AHEAD_WAIT // MS)
-        elif behind or connection.answer_at_once or found not in HELD_KINDS:
+        elif stale or connection.answer_at_once or kind not in WAITING_KINDS:
             self._answer(connection, now)
             return
-        connection.state = ConnectionState.HELD
-        self.held[connection] = None
+        connection.state = ConnectionState.WAITING
+        self.waiting[connection] = None
         self._timers.schedule(connection, now + min(wait, MAX_POLL_WAIT_MS) * MS)
 
     def _answer(self, connection: Connection, now: int, waited: bool = False) -> None:
-        """Answer its poll; without new events it stays held, unless it has ``waited``."""
+        """Answer its poll; without new events it goes on waiting, unless it has ``waited`` its time."""
         log = self.log
-        if self.current.is_stale(now):
-            if connection.state is ConnectionState.HELD and not waited and self._may_recover(now):
+        if self.freshness.is_stale(now):
+            if connection.state is ConnectionState.WAITING and not waited and self._may_recover(now):
                 return
-            self.counts["behind"] += 1
+            self.counters["behind"] += 1
             self._respond(
                 connection, 503, connection.close_after_response or self.stopping, b"Retry-After: 1\r\n"
             )
             return
         at_once = connection.answer_at_once or self.stopping
-        found = log.page_kind(connection.since, connection.log_incarnation, at_once)
+        kind = log.page_kind(connection.since, connection.log_incarnation, at_once)
         page: Page
-        if found is PageKind.EVENTS:
+        if kind is PageKind.EVENTS:
             page = log.events_page(connection.since, connection.accepts_gzip, at_once)
-            self.counts["plain"] += 1
-        elif found is PageKind.SNAPSHOT or (found is PageKind.AHEAD and waited):
+            self.counters["plain"] += 1
+        elif kind is PageKind.SNAPSHOT or (kind is PageKind.AHEAD and waited):
             page = log.snapshot_page(connection.accepts_gzip, at_once)
-            self.counts["whole"] += 1
-        elif found is PageKind.UNAVAILABLE:
-            self.counts["behind"] += 1
+            self.counters["whole"] += 1
+        elif kind is PageKind.UNAVAILABLE:
+            self.counters["behind"] += 1
             self._respond(
                 connection, 503, connection.close_after_response or self.stopping, b"Retry-After: 1\r\n"
             )
             return
-        elif waited or self.stopping or (at_once and found is not PageKind.AHEAD):
-            page = log.empty_page(connection.since, found is not PageKind.UNKNOWN)
-            self.counts["empty"] += 1
+        elif waited or self.stopping or (at_once and kind is not PageKind.AHEAD):
+            page = log.empty_page(connection.since, kind is not PageKind.UNKNOWN)
+            self.counters["empty"] += 1
         else:
             return
-        if found is not PageKind.UNKNOWN:
+        if kind is not PageKind.UNKNOWN:
             connection.log_incarnation = log.incarnation
         close_after_response = connection.close_after_response or self.stopping
         self._write(
             connection,
-            (page.head(self.current.age_seconds(now), self.current.via, close_after_response), page.body),
+            (page.head(self.freshness.age_seconds(now), self.freshness.via, close_after_response), page.body),
             close_after_response,
         )
 
@@ -429,14 +434,14 @@
     ) -> None:
         """Send a response other than a page."""
         close_after_response = close_after_response or self.stopping
-        ends = b"Connection: close\r\n" if close_after_response else b""
+        connection_field = b"Connection: close\r\n" if close_after_response else b""
         head = b"HTTP/1.1 %d %b\r\n%bVia: %b\r\nContent-Length: %d\r\n%b\r\n" % (
-            status, STATUSES[status], fields, self.current.via, len(body), ends)  # fmt: skip
+            status, STATUSES[status], fields, self.freshness.via, len(body), connection_field)  # fmt: skip
         self._write(connection, (head, body) if body else (head,), close_after_response)
 
     def _write(self, connection: Connection, pieces: tuple[bytes, ...], close_after_response: bool) -> None:
-        if connection.state is ConnectionState.HELD:
-            del self.held[connection]
+        if connection.state is ConnectionState.WAITING:
+            del self.waiting[connection]
         connection.state, connection.generation, connection.close_after_response = (
             ConnectionState.IDLE,
             connection.generation + 1,
@@ -447,10 +452,10 @@
         except StreamClosedError:
             self._close(connection)
             return
-        if connection.stream.closed():  # the write met a reset
+        if connection.stream.closed():  # the peer has reset the connection
             self._close(connection)
             return
-        self.counts["bytes"] += sum(map(len, pieces))
+        self.counters["bytes"] += sum(map(len, pieces))
         if connection.stream.writing():
             self._wait_until_sent(connection)
             return
@@ -463,7 +468,7 @@
             self._loop.call_soon(self._parse_next, connection)
 
     def _wait_until_sent(self, connection: Connection) -> None:
-        """The stream is registered with the event loop now, and reads go through it from here on."""
+        """Wait until the response is sent; the event loop has the stream now, so reads go through it too."""
         self._pause_reading(connection)
         connection.state, connection.streamed = ConnectionState.SENDING, True
         self._timers.schedule(connection, self._now() + SEND_TIMEOUT)
@@ -487,42 +492,46 @@
 
         connection.stream.write(b"").add_done_callback(done)  # done when all before it is sent
 
-    def answer_held(self) -> None:
-        """Answer the held polls for which there is something new, a batch in each turn of the loop."""
-        self._to_answer = list(self.held)
-        self._to_answer.reverse()
-        if not self._is_answering and self._to_answer:
+    def answer_waiting_polls(self) -> None:
+        """Answer the waiting polls that have new events, one batch in each iteration of the event loop."""
+        self._answer_queue = list(self.waiting)
+        self._answer_queue.reverse()
+        if not self._is_answering and self._answer_queue:
             self._is_answering = True
             self._answer_batch()
 
     def _answer_batch(self) -> None:
-        now, turn = self._now(), self._to_answer
-        for _ in range(min(ANSWER_BATCH, len(turn))):
-            connection = turn.pop()
-            if connection.state is ConnectionState.HELD:
-                self._safely(self._answer, connection, now)
-        if turn:
+        now, queue = self._now(), self._answer_queue
+        for _ in range(min(ANSWER_BATCH, len(queue))):
+            connection = queue.pop()
+            if connection.state is ConnectionState.WAITING:
+                self._handle_safely(self._answer, connection, now)
+        if queue:
             self._loop.call_soon(self._answer_batch)
         else:
             self._is_answering = False
 
-    def _safely(self, do: Callable[[Connection, int], None], connection: Connection, now: int) -> None:
-        """Close a connection that fails, so that the others are still served."""
+    def _handle_safely(
+        self, handle: Callable[[Connection, int], None], connection: Connection, now: int
+    ) -> None:
+        """Close a connection whose handling fails, so that the others are still served."""
         try:
-            do(connection, now)
-        except Exception as error:  # noqa: BLE001 - any fault ends one connection only
-            where = traceback.extract_tb(error.__traceback__)[-1]
-            place = f"{where.name}, line {where.lineno}"
-            log_line(f"fault at {connection.peer}: {type(error).__name__}: {error} ({place})")
+            handle(connection, now)
+        except Exception as error:  # noqa: BLE001 - a fault must end one connection only
+            frame = traceback.extract_tb(error.__traceback__)[-1]
+            location = f"{frame.name}, line {frame.lineno}"
+            log_line(
+                f"connection of {connection.peer} closed on {type(error).__name__}: {error} ({location})"
+            )
             self._close(connection)
 
-    # The end
+    # Stopping
 
     def stop(self) -> None:
-        """Answer all held polls; each connection ends with its next response."""
+        """Answer all waiting polls; each connection ends with its next response."""
         self.stopping = True
         self._stopping_since = self._now()
-        self.answer_held()
+        self.answer_waiting_polls()
 
     def close(self) -> None:
         """Close all connections at once."""
--- a/hallproxy/relay/requests.py
+++ b/hallproxy/relay/requests.py
@@ -11,7 +11,7 @@
 MAX_QUERY_FIELDS = 8
 MAX_NUMBER_DIGITS = 18
 
-# The head that followers send, complete and alone in what was read; any other is parsed in full.
+# Matches a read that is exactly one head as followers send it; other requests are parsed in full.
 COMMON_POLL = re.compile(
     rb"GET /changes\?since=(\d{1,18})&timeout=(\d{1,9}) HTTP/1\.1\r\n"
     rb"Host: [!-~]{1,255}\r\n(Accept-Encoding: gzip\r\n)?\r\n"
@@ -51,7 +51,7 @@
 
 
 def parse_request(head: Head) -> Poll | StatusRequest | BadRequest:
-    """What a request's head asks for."""
+    """Parse a request's head."""
     close_after_response = not head.keep_alive
     try:
         url = urlsplit(head.target)
@@ -87,5 +87,5 @@
 def _number(values: list[str]) -> int:
     text = values[0]
     if len(values) != 1 or not (text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS):
-        raise ValueError(f"{text!r} is no number")
+        raise ValueError(f"{text!r} is not a number, or has too many digits")
     return int(text)
--- a/hallproxy/relay/status.py
+++ b/hallproxy/relay/status.py
@@ -1,4 +1,4 @@
-"""What a relay says of itself, and the tree that many of them make."""
+"""The status report of a relay, and the tree of several relays."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 from hallproxy.relay.upstream import Upstream
 from hallproxy.run.config import Address, ConfigError, address
 
-NUMBERS_MOST = 64  # numbers told of, the lowest ones
-WITHIN = 2.0  # s for an answer
-PAGE_MOST = 1024 * 1024  # bytes of one
+MAX_NUMBERS = 64  # followers' numbers in a report, the lowest ones
+TIMEOUT = 2.0  # s; of a status request
+MAX_STATUS_BYTES = 1024 * 1024
 
 Status = dict[str, Any]
 
 
-def text(where: Address) -> str:
+def format_address(source: Address) -> str:
     """An address as ``host:port``."""
-    return f"{where[0]}:{where[1]}"
+    return f"{source[0]}:{source[1]}"
 
 
-def status(name: str, front: Front, upstream: Upstream, sources: Iterable[Address], now: int) -> Status:
-    """What the relay reports about itself."""
-    log, current, confirmed = front.log, front.current, front.confirmed
-    known = [c for c in front.connections if c.confirmed_number is not None]
-    slowest = min(known, key=lambda c: (c.confirmed_number, c.last_request_at), default=None)
-    numbers = sorted(confirmed.followers_by_number.items())[:NUMBERS_MOST]
-    never = upstream.where is None
+def build_status(name: str, front: Front, upstream: Upstream, sources: Iterable[Address], now: int) -> Status:
+    """The relay's status report."""
+    log, freshness, confirmations = front.log, front.freshness, front.confirmations
+    polling = [c for c in front.connections if c.confirmed_number is not None]
+    slowest = min(polling, key=lambda c: (c.confirmed_number, c.last_request_at), default=None)
+    numbers = sorted(confirmations.followers_by_number.items())[:MAX_NUMBERS]
+    never_polled = upstream.last_source is None
     return {
         "name": name,
-        "upstream": [text(where) for where in sources],
-        "follows": None if upstream.where is None else text(upstream.where),
-        "via": list(current.upstream_relays),
-        "current": not current.is_stale(now),
-        "behind_ms": None if never else (now - current.upstream_polled_at) // MS,
-        "age": None if never else current.age_seconds(now),
+        "upstream": [format_address(source) for source in sources],
+        "follows": None if upstream.last_source is None else format_address(upstream.last_source),
+        "via": list(freshness.upstream_relays),
+        "current": not freshness.is_stale(now),
+        "behind_ms": None if never_polled else (now - freshness.upstream_polled_at) // MS,
+        "age": None if never_polled else freshness.age_seconds(now),
         "life": log.incarnation,
         "doubtful": log.ambiguous,
         "first": log.ring.first_number,
@@ -48,9 +48,9 @@
         "generation": log.ring.generation,
         "members": len(log.ring.endpoints),
         "connections": len(front.connections),
-        "followers": confirmed.follower_count,
-        "held": sum(c.state is ConnectionState.HELD for c in known),
-        "lowest": confirmed.lowest_confirmed,
+        "followers": confirmations.follower_count,
+        "held": sum(c.state is ConnectionState.WAITING for c in polling),
+        "lowest": confirmations.lowest_confirmed,
         "slowest": None
         if slowest is None
         else {
@@ -59,41 +59,41 @@
             "silent_ms": (now - slowest.last_request_at) // MS,
         },
         "numbers": [{"number": number, "followers": count} for number, count in numbers],
-        "confirmed_ms": confirmed.delays_ms(),
-        "unconfirmed": confirmed.unconfirmed_pages(),
-        "pages": {"built": log.pages.build_count, "held": len(log.pages), "bytes": log.pages.bytes},
-        "answers": dict(front.counts),
-        "heard": {"events": upstream.events, "bytes": upstream.bytes},
+        "confirmed_ms": confirmations.delays_ms(),
+        "unconfirmed": confirmations.unconfirmed_pages(),
+        "pages": {"built": log.pages.build_count, "held": len(log.pages), "bytes": log.pages.byte_count},
+        "answers": dict(front.counters),
+        "heard": {"events": upstream.event_count, "bytes": upstream.byte_count},
     }
 
 
-def fetch(at: str) -> Status:
-    """One relay's status; where it can't be had, ``error`` says why."""
-    host, port = address(at)
-    asking = http.client.HTTPConnection(host, port, timeout=WITHIN)
+def fetch(relay: str) -> Status:
+    """One relay's status, or an ``error`` that says why it is not available."""
+    host, port = address(relay)
+    connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT)
     try:
-        asking.request("GET", "/status", headers={"Connection": "close"})
-        answer = asking.getresponse()
-        body = answer.read(PAGE_MOST)
-        if answer.status != 200:
-            return {"error": f"answer {answer.status}"}
-        found: Status = json.loads(body)
-        return found if _is_status(found) else {"error": "no relay's status"}
+        connection.request("GET", "/status", headers={"Connection": "close"})
+        response = connection.getresponse()
+        body = response.read(MAX_STATUS_BYTES)
+        if response.status != 200:
+            return {"error": f"HTTP status {response.status}"}
+        report: Status = json.loads(body)
+        return report if _is_status(report) else {"error": "response is not a relay's status"}
     except (OSError, http.client.HTTPException) as error:
         return {"error": getattr(error, "strerror", None) or str(error) or type(error).__name__}
     except (ValueError, RecursionError):
-        return {"error": "no JSON"}
+        return {"error": "response is not JSON"}
     finally:
-        asking.close()
+        connection.close()
 
 
-def _is_status(found: object) -> bool:
-    """Whether what is shown of it is there, in its form: what answers need be no relay."""
-    if not isinstance(found, dict) or not isinstance(found.get("name"), str):
+def _is_status(report: object) -> bool:
+    """Whether it has the fields that are displayed, with valid types; the server may be no relay."""
+    if not isinstance(report, dict) or not isinstance(report.get("name"), str):
         return False
-    slowest, delays = found.get("slowest"), found.get("confirmed_ms")
+    slowest, delays = report.get("slowest"), report.get("confirmed_ms")
     return (
-        isinstance(found.get("follows"), str | None)
+        isinstance(report.get("follows"), str | None)
         and (slowest is None or (isinstance(slowest, dict) and isinstance(slowest.get("peer"), str)))
         and isinstance(delays, dict)
         and all(isinstance(value, int | float) for value in delays.values())
@@ -102,50 +102,52 @@
 
 
 def fetch_all(addresses: Sequence[str]) -> dict[str, Status]:
-    """The status of several relays, by address; ConfigError if an address is named twice."""
+    """The status of several relays, by address; ConfigError if an address is given twice."""
     if len(set(addresses)) < len(addresses):
-        raise ConfigError("an address is named twice")
-    return {text(address(at)): fetch(at) for at in addresses}
+        raise ConfigError("an address is given twice")
+    return {format_address(address(relay)): fetch(relay) for relay in addresses}
 
 
-def format_tree(found: dict[str, Status]) -> list[str]:
-    """The relays as lines, each below the one that it follows; who was not asked is named alone."""
-    below: dict[str, list[str]] = {}
-    for at, said in found.items():
-        below.setdefault(str(said.get("follows") or "?") if "error" not in said else "", []).append(at)
+def format_tree(reports: dict[str, Status]) -> list[str]:
+    """The relays as lines, each below the one it follows; one that was not requested is only named."""
+    children: dict[str, list[str]] = {}
+    for relay, report in reports.items():
+        children.setdefault(str(report.get("follows") or "?") if "error" not in report else "", []).append(
+            relay
+        )
     lines: list[str] = []
     shown: set[str] = set()
 
-    def show(at: str, depth: int) -> None:
-        shown.add(at)
-        lines.append("  " * depth + _line(at, found.get(at)))
-        for child in sorted(below.get(at, ())):
+    def show(relay: str, depth: int) -> None:
+        shown.add(relay)
+        lines.append("  " * depth + _line(relay, reports.get(relay)))
+        for child in sorted(children.get(relay, ())):
             if child not in shown:
                 show(child, depth + 1)
 
-    for root in sorted(set(below) - set(found) - {"", "?"}):
+    for root in sorted(set(children) - set(reports) - {"", "?"}):
         show(root, 0)
-    for at in sorted(found):
-        if at not in shown and found[at].get("follows") not in found:
-            show(at, 0)
-    for at in sorted(found):
-        if at not in shown:  # they follow each other
-            show(at, 0)
+    for relay in sorted(reports):
+        if relay not in shown and reports[relay].get("follows") not in reports:
+            show(relay, 0)
+    for relay in sorted(reports):
+        if relay not in shown:  # they follow each other
+            show(relay, 0)
     return lines
 
 
-def _line(at: str, said: Status | None) -> str:
-    if said is None:
-        return at
-    if "error" in said:
-        return f"{at}  not reached: {said['error']}"
-    state = "current" if said.get("current") else "BEHIND"
-    line = f"{at}  {said.get('name')}  {state}  age {said.get('age')} s  at {said.get('last')}"
-    line += f"  {said.get('followers')} followers"
-    slowest = said.get("slowest")
+def _line(relay: str, report: Status | None) -> str:
+    if report is None:
+        return relay
+    if "error" in report:
+        return f"{relay}  not reached: {report['error']}"
+    state = "current" if report.get("current") else "BEHIND"
+    line = f"{relay}  {report.get('name')}  {state}  age {report.get('age')} s  at {report.get('last')}"
+    line += f"  {report.get('followers')} followers"
+    slowest = report.get("slowest")
     if slowest:
-        line += f", lowest {said.get('lowest')} ({slowest.get('peer')})"
-    delays = said.get("confirmed_ms") or {}
+        line += f", lowest {report.get('lowest')} ({slowest.get('peer')})"
+    delays = report.get("confirmed_ms") or {}
     if delays.get("count"):
         line += f"  confirmed by all in {delays['p50']:g} ms (p99 {delays['p99']:g}, max {delays['max']:g})"
     return line
--- a/hallproxy/relay/upstream.py
+++ b/hallproxy/relay/upstream.py
@@ -1,4 +1,4 @@
-"""The one that the relay follows: the log, or another relay."""
+"""The relay's follower of its upstream: the change log, or another relay."""
 
 from __future__ import annotations
 
@@ -18,41 +18,43 @@
 from hallproxy.run.log import log_line
 from hallproxy.wire.changelog import ChangeLogError, decode_age
 
-LARGE = 1024 * 1024  # bytes of a page
-ANSWER_IN = 0.25  # s past the wait that was asked for after which a poll has failed
+LARGE_PAGE_BYTES = 1024 * 1024
+RESPONSE_TIMEOUT = 0.25  # s past the requested wait after which a poll has failed
 
 
 class Upstream(Follower):
-    """Puts what it hears into ``log``; ``changed`` is called behind each page that was taken."""
+    """Applies upstream pages to ``log`` and calls ``on_applied`` after each."""
 
     def __init__(
         self,
         sources: Sources,
         wait: int,
         log: ChangeLog,
-        current: Freshness,
-        confirmed: ConfirmationTracker,
+        freshness: Freshness,
+        confirmations: ConfirmationTracker,
         now: Callable[[], int],
-        changed: Callable[[], None],
+        on_applied: Callable[[], None],
     ) -> None:
-        others = not isinstance(sources, SingleSource)
-        super().__init__(sources, log.poll_from, wait, ANSWER_IN, compressed=True, has_alternatives=others)
-        self._log, self._current, self._confirmed = log, current, confirmed
-        self._clock, self._changed = now, changed
-        self.where: Address | None = None  # who answered last
-        self.events = self.bytes = 0
+        has_alternatives = not isinstance(sources, SingleSource)
+        super().__init__(
+            sources, log.poll_from, wait, RESPONSE_TIMEOUT, compressed=True, has_alternatives=has_alternatives
+        )
+        self._log, self._freshness, self._confirmations = log, freshness, confirmations
+        self._clock, self._on_applied = now, on_applied
+        self.last_source: Address | None = None  # of the last page applied
+        self.event_count = self.byte_count = 0
 
     @property
     def wait(self) -> int:
-        """ms that a poll is held by the one above."""
+        """The time (ms) that the upstream may let a poll wait."""
         return self._wait
 
     @wait.setter
     def wait(self, wait: int) -> None:
         self._wait = wait
 
-    def turn_to(self, sources: Sources) -> None:
-        """Follow other sources from now on."""
+    def switch_sources(self, sources: Sources) -> None:
+        """Poll other sources from now on."""
         self.has_alternatives = not isinstance(sources, SingleSource)
         self.set_sources(sources)
 
@@ -61,49 +63,53 @@
         return self._clock()
 
     def read(self, body: bytes) -> dict[str, Any]:
-        """Parse a page; ChangeError if it is no JSON object."""
-        large = len(body) > LARGE
+        """Parse a page; ChangeLogError if it is not a JSON object."""
+        large = len(body) > LARGE_PAGE_BYTES
         try:
             if large:
-                # Hundreds of thousands of objects that are all in use: looked through again and again while
-                # they are made, they would take twice the time.
+                # A page may have hundreds of thousands of objects, all in use: collections that traverse them
+                # during parsing would double its time.
                 gc.disable()
             page = orjson.loads(body)
         except ValueError:
-            raise ChangeLogError("the change log's answer is not JSON") from None
+            raise ChangeLogError("change log page is not JSON") from None
         finally:
             if large:
                 gc.enable()
         if not isinstance(page, dict):
-            raise ChangeLogError("the change log's answer is no object")
+            raise ChangeLogError("change log page is not a JSON object")
         return page
 
     def apply(self, response: PollResponse) -> None:
-        """Apply a page to the log; ChangeError if it cannot be used."""
+        """Apply a page to the log; ChangeLogError if it can't be used."""
         log, now = self._log, self.now()
-        life, before, asks = log.incarnation, log.ring.last_number, log.poll_from
+        former_incarnation, previous_last, polled_from = log.incarnation, log.ring.last_number, log.poll_from
         fields = response.head.fields
-        via, told = via_names(fields.get("via", "")), decode_age(fields.get("age", "0"))
+        via, age = via_names(fields.get("via", "")), decode_age(fields.get("age", "0"))
         try:
-            self._current.check_path(via)
-            came = log.apply(response.page, now)
+            self._freshness.check_path(via)
+            new_events = log.apply(response.page, now)
         except FeedError as error:
             raise ChangeLogError(str(error)) from None
         finally:
-            self.since = log.poll_from  # a page that can't be used may yet say where to begin anew
-        if log.poll_from < asks and not log.caught_up:
-            log_line(f"change log: it counts anew, {asks} was held")
-        if log.incarnation != life:
-            self._confirmed.reset()
-        elif came and log.ring.last_number > before:
-            self._confirmed.record_arrival(log.ring.last_number, came, now)
-        self.where = response.source
-        self.events += came
-        self.bytes += response.size
+            self.since = log.poll_from  # a rejected page may change the number to poll from
+        if log.poll_from < polled_from and not log.caught_up:
+            log_line(f"change log: event numbers went back; {polled_from} was the last applied")
+        if log.incarnation != former_incarnation:
+            self._confirmations.reset()
+        elif new_events and log.ring.last_number > previous_last:
+            self._confirmations.record_arrival(log.ring.last_number, new_events, now)
+        self.last_source = response.source
+        self.event_count += new_events
+        self.byte_count += response.size
         if log.caught_up:
-            asked = response.polled_at
-            # Held to its end with nothing to tell, and left open: it was put together no sooner than that.
-            if not response.page["results"] and response.head.keep_alive and now - asked >= self._wait * MS:
-                asked += self._wait * MS
-            self._current.update(asked, told, via)
-        self._changed()
+            generated_at = response.polled_at
+            # An empty page on a connection that stays open was generated no earlier than the end of its wait.
+            if (
+                not response.page["results"]
+                and response.head.keep_alive
+                and now - generated_at >= self._wait * MS
+            ):
+                generated_at += self._wait * MS
+            self._freshness.update(generated_at, age, via)
+        self._on_applied()
--- a/tests/feed/test_feed.py
+++ b/tests/feed/test_feed.py
@@ -415,9 +415,9 @@
     pages = PageCache(max_pages=4, max_bytes=1000)
     for n in range(9):
         pages.get(n, lambda: Page(b"x" * 100, False, 1))
-    assert len(pages) == 4 and pages.bytes == 400
+    assert len(pages) == 4 and pages.byte_count == 400
     pages.get("large", lambda: Page(b"x" * 950, False, 1))
-    assert len(pages) == 1 and pages.bytes == 950  # the one that is asked for, whatever its size
+    assert len(pages) == 1 and pages.byte_count == 950  # the one that is asked for, whatever its size
 
 
 def test_age_is_counted_from_the_last_poll_of_the_log() -> None:
