--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay as a process: it follows a stand-in log, and serves the same."""
+"""The relay as a process that follows a stand-in change log and serves its events."""
 
 from __future__ import annotations
 
@@ -21,62 +21,64 @@
 from hallproxy.relay.front import MAX_STATUS_CONNECTIONS
 from tests.support.gateway import DEADLINE, ROOT, ChangeLog, Program, instance_record, now_ms, until
 
-Answer = tuple[int, dict[str, str], Any]
+Response = tuple[int, dict[str, str], Any]
 
 
 class Relay:
-    """The program with its file, and what it is asked."""
+    """A relay process with its configuration file."""
 
-    def __init__(self, path: Path, name: str = "r1", **keys: Any) -> None:
+    def __init__(self, path: Path, name: str = "r1", **settings: Any) -> None:
         self.name, self.file = name, path / f"{name}.toml"
-        self.keys = {"name": name, "listen": "127.0.0.1:0"} | keys
+        self.settings = {"name": name, "listen": "127.0.0.1:0"} | settings
         self.write()
         self.program = Program("relay", str(self.file))
         self.port = self.program.port
         self.address = f"127.0.0.1:{self.port}"
-        self.open: list[Poll] = []
+        self.connections: list[FollowerConnection] = []
 
-    def write(self, **keys: Any) -> None:
-        self.keys |= keys
-        self.file.write_text("".join(f"{key} = {json.dumps(value)}\n" for key, value in self.keys.items()))
+    def write(self, **settings: Any) -> None:
+        self.settings |= settings
+        self.file.write_text(
+            "".join(f"{key} = {json.dumps(value)}\n" for key, value in self.settings.items())
+        )
 
     def status(self) -> dict[str, Any]:
-        status, _, body = self.ask("/status")
+        status, _, body = self.request("/status")
         assert status == 200
         found: dict[str, Any] = body
         return found
 
-    def at(self, number: int) -> Relay:
-        """Once it holds so many events, and is current."""
-        until(lambda: (said := self.status())["last"] == number and said["current"])
+    def wait_until_at(self, number: int) -> Relay:
+        """Wait until its last event has this number and it is current."""
+        until(lambda: (report := self.status())["last"] == number and report["current"])
         return self
 
-    def ask(self, target: str, method: str = "GET", **fields: str) -> Answer:
-        with contextlib.closing(Poll(self.port)) as poll:
-            return poll.ask(target, method, **fields)
+    def request(self, target: str, method: str = "GET", **fields: str) -> Response:
+        with contextlib.closing(FollowerConnection(self.port)) as follower:
+            return follower.request(target, method, **fields)
 
-    def changes(self, since: int, wait: int = 0, **fields: str) -> Answer:
-        return self.ask(f"/changes?since={since}&timeout={wait}", **fields)
+    def changes(self, since: int, wait: int = 0, **fields: str) -> Response:
+        return self.request(f"/changes?since={since}&timeout={wait}", **fields)
 
-    def poll(self, takes: int = 0) -> Poll:
-        self.open.append(Poll(self.port, takes))
-        return self.open[-1]
+    def connect(self, receive_buffer: int = 0) -> FollowerConnection:
+        self.connections.append(FollowerConnection(self.port, receive_buffer))
+        return self.connections[-1]
 
-    def end(self) -> None:
-        for poll in self.open:
-            poll.close()
+    def stop(self) -> None:
+        for follower in self.connections:
+            follower.close()
         if self.program.process.poll() is None:
             assert self.program.stop() == 0
 
 
-class Poll:
-    """One connection of a follower."""
+class FollowerConnection:
+    """A follower's connection."""
 
-    def __init__(self, port: int, takes: int = 0) -> None:
-        """``takes``: bytes that the system takes for it while it does not read."""
+    def __init__(self, port: int, receive_buffer: int = 0) -> None:
+        """``receive_buffer``: bytes that the kernel receives for it while it does not read."""
         self.sock = socket.socket()
-        if takes:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, takes)
+        if receive_buffer:
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         self.sock.connect(("127.0.0.1", port))
         self.sock.settimeout(DEADLINE)
         self.file = self.sock.makefile("rb")
@@ -86,10 +88,10 @@
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in fields.items()]
         self.sock.sendall("\r\n".join([*lines, "", ""]).encode())
 
-    def hold(self, since: int, wait: int = 5000, **fields: str) -> None:
+    def send_poll(self, since: int, wait: int = 5000, **fields: str) -> None:
         self.send(f"/changes?since={since}&timeout={wait}", **fields)
 
-    def read(self) -> Answer:
+    def read(self) -> Response:
         status = int(self.file.readline().split()[1])
         fields: dict[str, str] = {}
         while line := self.file.readline().strip():
@@ -101,12 +103,12 @@
             body = gzip.decompress(body)
         return status, fields, json.loads(body) if body else None
 
-    def ask(self, target: str, method: str = "GET", **fields: str) -> Answer:
+    def request(self, target: str, method: str = "GET", **fields: str) -> Response:
         self.send(target, method, **fields)
         return self.read()
 
-    def ended(self) -> bool:
-        """Whether the other side has ended the connection in order."""
+    def closed_by_peer(self) -> bool:
+        """Whether the peer has closed the connection without a reset."""
         return not self.file.read(1)
 
     def close(self) -> None:
@@ -118,7 +120,7 @@
     return {"invalidate": {"object": f"{n:016x}", "time": now_ms()}}
 
 
-def a_list(*names: str, reset: bool = False, generation: int = 1) -> dict[str, Any]:
+def list_update(*names: str, reset: bool = False, generation: int = 1) -> dict[str, Any]:
     lines = [instance_record(name, "127.0.0.1:1", "std") for name in names]
     return {"fleet": {"generation": generation, "reset": reset, "instances": lines}}
 
@@ -129,9 +131,9 @@
 
 @pytest.fixture
 def log() -> ChangeLog:
-    made = ChangeLog()
-    made.add(**a_list("a", "b", reset=True))
-    return made
+    change_log = ChangeLog()
+    change_log.add(**list_update("a", "b", reset=True))
+    return change_log
 
 
 Start = Callable[..., Relay]
@@ -141,111 +143,112 @@
 def start(tmp_path: Path, log: ChangeLog) -> Iterator[Start]:
     started: list[Relay] = []
 
-    def make(name: str = "r1", **keys: Any) -> Relay:
-        started.append(Relay(tmp_path, name, **({"upstream": [log.address]} | keys)))
+    def make(name: str = "r1", **settings: Any) -> Relay:
+        started.append(Relay(tmp_path, name, **({"upstream": [log.address]} | settings)))
         return started[-1]
 
     yield make
     for relay in started:
-        relay.end()
+        relay.stop()
 
 
-def test_it_tells_what_the_log_tells(log: ChangeLog, start: Start) -> None:
+def test_the_relay_serves_the_events_of_the_log(log: ChangeLog, start: Start) -> None:
     for n in range(30):
         log.add(**purge(n))
-    relay = start(gather_ms=0).at(31)
+    relay = start(gather_ms=0).wait_until_at(31)
     status, fields, page = relay.changes(0)
     assert status == 200 and page == log.page()
     assert fields["content-type"] == "application/json" and fields["via"] == "1.1 r1"
     assert fields["age"] in "12" and fields["vary"] == "Accept-Encoding"
     assert relay.changes(12)[2] == log.page(12)
-    held = relay.poll()
-    held.hold(31)
+    follower = relay.connect()
+    follower.send_poll(31)
     until(lambda: relay.status()["held"] == 1)
     log.add(**purge(31))
-    assert held.read()[2] == log.page(31)
-    assert held.ask("/changes?since=32&timeout=60")[2] == {"seq": 32, "results": []}
+    assert follower.read()[2] == log.page(31)
+    assert follower.request("/changes?since=32&timeout=60")[2] == {"seq": 32, "results": []}
 
 
 def test_events_gather_into_one_page(log: ChangeLog, start: Start) -> None:
-    relay = start(gather_ms=1500).at(1)
-    held = relay.poll()
-    held.hold(1)
+    relay = start(gather_ms=1500).wait_until_at(1)
+    follower = relay.connect()
+    follower.send_poll(1)
     until(lambda: relay.status()["held"] == 1)
     for n in range(5):
         log.add(**purge(n))
-        until(lambda: relay.status()["last"] == len(log.events))  # each came by itself
+        until(lambda: relay.status()["last"] == len(log.events))  # each is received separately
     assert relay.status()["held"] == 1
-    # Who does not wait gets what has gathered; who waits, all of it together.
+    # A poll that does not wait gets the gathered events; a waiting one gets all of them in one page.
     assert numbers(relay.changes(1)[2]) == [2, 3, 4, 5, 6]
-    assert numbers(held.read()[2]) == [2, 3, 4, 5, 6]
+    assert numbers(follower.read()[2]) == [2, 3, 4, 5, 6]
 
 
-def test_a_change_of_the_list_is_told_at_once(log: ChangeLog, start: Start) -> None:
-    relay = start(gather_ms=5000).at(1)
-    held = relay.poll()
-    held.hold(1, wait=3000)
+def test_a_change_of_the_endpoint_list_is_sent_at_once(log: ChangeLog, start: Start) -> None:
+    relay = start(gather_ms=5000).wait_until_at(1)
+    follower = relay.connect()
+    follower.send_poll(1, wait=3000)
     log.add(**purge(1))
-    until(lambda: (said := relay.status())["last"] == 2 and said["held"] == 1)
-    log.add(**a_list("c"))
-    assert numbers(held.read()[2]) == [2, 3]  # well ahead of the gathering's end
+    until(lambda: (report := relay.status())["last"] == 2 and report["held"] == 1)
+    log.add(**list_update("c"))
+    assert numbers(follower.read()[2]) == [2, 3]  # long before the gather delay ends
 
 
-def test_gzip_for_who_takes_it(log: ChangeLog, start: Start) -> None:
+def test_gzip_for_followers_that_accept_it(log: ChangeLog, start: Start) -> None:
     for n in range(100):
         log.add(**purge(n))
-    relay = start().at(101)
+    relay = start().wait_until_at(101)
     plain = relay.changes(0)
     for accept in ("gzip", "br, gzip;q=0.5", "GZIP"):
-        zipped = relay.changes(0, Accept_Encoding=accept)
-        assert zipped[1]["content-encoding"] == "gzip" and zipped[2] == plain[2]
-        assert int(zipped[1]["content-length"]) < int(plain[1]["content-length"]) / 3
+        gzipped = relay.changes(0, Accept_Encoding=accept)
+        assert gzipped[1]["content-encoding"] == "gzip" and gzipped[2] == plain[2]
+        assert int(gzipped[1]["content-length"]) < int(plain[1]["content-length"]) / 3
     for accept in ("identity", "br", "gzip;q=0", "gzip;q=x", ""):
         assert "content-encoding" not in relay.changes(0, Accept_Encoding=accept)[1]
-    assert "content-encoding" not in relay.changes(101, Accept_Encoding="gzip")[1]  # it would be longer
+    # Compression would make this page longer.
+    assert "content-encoding" not in relay.changes(101, Accept_Encoding="gzip")[1]
 
 
-def test_one_page_serves_many(log: ChangeLog, start: Start) -> None:
-    relay = start(gather_ms=0).at(1)
-    polls = [relay.poll() for _ in range(200)]
-    for poll in polls:
-        poll.hold(1, Accept_Encoding="gzip")
+def test_one_page_is_built_for_many_followers(log: ChangeLog, start: Start) -> None:
+    relay = start(gather_ms=0).wait_until_at(1)
+    followers = [relay.connect() for _ in range(200)]
+    for follower in followers:
+        follower.send_poll(1, Accept_Encoding="gzip")
     until(lambda: relay.status()["held"] == 200)
-    built = relay.status()["pages"]["built"]
+    built_before = relay.status()["pages"]["built"]
     log.add(**purge(1))
-    assert all(numbers(poll.read()[2]) == [2] for poll in polls)
-    assert relay.status()["pages"]["built"] == built + 1
-    # None has asked again, so none has confirmed it; then all do.
-    said = relay.status()
-    assert said["lowest"] == 1 and said["numbers"] == [{"number": 1, "followers": 200}]
-    assert said["confirmed_ms"]["count"] == 0
-    for poll in polls:
-        poll.hold(2)
-    said = until(lambda: (said := relay.status())["lowest"] == 2 and said)
-    assert said["followers"] == 200 and said["confirmed_ms"]["count"] == 1
-    for poll in polls:
-        poll.close()
+    assert all(numbers(follower.read()[2]) == [2] for follower in followers)
+    assert relay.status()["pages"]["built"] == built_before + 1
+    # No follower has polled again, so none has confirmed the event; then all do.
+    report = relay.status()
+    assert report["lowest"] == 1 and report["numbers"] == [{"number": 1, "followers": 200}]
+    assert report["confirmed_ms"]["count"] == 0
+    for follower in followers:
+        follower.send_poll(2)
+    report = until(lambda: (report := relay.status())["lowest"] == 2 and report)
+    assert report["followers"] == 200 and report["confirmed_ms"]["count"] == 1
+    for follower in followers:
+        follower.close()
     until(lambda: relay.status()["followers"] == 0)
 
 
-def test_a_long_backlog_is_told_in_pages(log: ChangeLog, start: Start) -> None:
+def test_a_long_backlog_is_sent_in_pages(log: ChangeLog, start: Start) -> None:
     for n in range(24):
         log.add(**purge(n))
-    relay = start(page_events=10).at(25)
-    poll, since, got = relay.poll(), 0, []
+    relay = start(page_events=10).wait_until_at(25)
+    follower, since, received = relay.connect(), 0, []
     for size in (10, 10, 5):
-        page = poll.ask(f"/changes?since={since}&timeout=5000")[2]
+        page = follower.request(f"/changes?since={since}&timeout=5000")[2]
         assert page["seq"] == 25 and len(page["results"]) == size
-        got += page["results"]
-        since = got[-1]["seq"]
-    assert got == log.events
+        received += page["results"]
+        since = received[-1]["seq"]
+    assert received == log.events
 
 
-def test_a_whole_page_for_numbers_below_the_ring_and_above_the_last(log: ChangeLog, start: Start) -> None:
+def test_numbers_below_the_ring_and_above_the_last_get_a_snapshot(log: ChangeLog, start: Start) -> None:
     for n in range(600):
         log.add(**purge(n))
-    log.add(**a_list("c", generation=7))
-    relay = start(ring_events=512).at(602)
+    log.add(**list_update("c", generation=7))
+    relay = start(ring_events=512).wait_until_at(602)
     assert numbers(relay.changes(602 - 512)[2]) == list(range(602 - 511, 603))
     for since, wait in ((0, 0), (89, 0), (89, 5000), (603, 0), (10**9, 5000)):
         page = relay.changes(since, wait)[2]
@@ -265,154 +268,158 @@
 
 
 def test_relays_follow_relays(log: ChangeLog, start: Start) -> None:
-    top = start("top").at(1)
-    middle = start("middle", upstream=[top.address], gather_ms=0).at(1)
-    low = start("low", upstream=[middle.address], gather_ms=0).at(1)
-    held = low.poll()
-    held.hold(1)
+    top = start("top").wait_until_at(1)
+    middle = start("middle", upstream=[top.address], gather_ms=0).wait_until_at(1)
+    low = start("low", upstream=[middle.address], gather_ms=0).wait_until_at(1)
+    follower = low.connect()
+    follower.send_poll(1)
     for n in range(5):
         log.add(**purge(n))
-    status, fields, page = held.read()
+    status, fields, page = follower.read()
     assert status == 200 and page["results"] == log.events[1:][: len(page["results"])]
     assert fields["via"] == "1.1 top, 1.1 middle, 1.1 low" and 2 <= int(fields["age"]) <= 5
-    low.at(6)
-    ran = relay_status(top.address, middle.address, low.address)
-    assert ran.returncode == 0, ran.stderr
-    lines = ran.stdout.splitlines()
+    low.wait_until_at(6)
+    completed = relay_status(top.address, middle.address, low.address)
+    assert completed.returncode == 0, completed.stderr
+    lines = completed.stdout.splitlines()
     assert [line.split()[:2] for line in lines] == [
         [log.address], [top.address, "top"], [middle.address, "middle"], [low.address, "low"]]  # fmt: skip
     assert [len(line) - len(line.lstrip()) for line in lines] == [0, 2, 4, 6]
-    ran = relay_status("--json", low.address, "127.0.0.1:1")
-    found = json.loads(ran.stdout)
-    assert ran.returncode == 1 and "error" in found["127.0.0.1:1"]
+    completed = relay_status("--json", low.address, "127.0.0.1:1")
+    found = json.loads(completed.stdout)
+    assert completed.returncode == 1 and "error" in found["127.0.0.1:1"]
     assert found[low.address]["via"] == ["top", "middle"] and found[low.address]["follows"] == middle.address
 
 
-def test_held_polls_are_answered_at_the_end(log: ChangeLog, start: Start) -> None:
-    relay = start(gather_ms=5000).at(1)
-    some, nothing, silent = relay.poll(), relay.poll(), relay.poll()
-    some.hold(1)
+def test_waiting_polls_are_answered_on_sigterm(log: ChangeLog, start: Start) -> None:
+    relay = start(gather_ms=5000).wait_until_at(1)
+    some, nothing, silent = relay.connect(), relay.connect(), relay.connect()
+    some.send_poll(1)
     log.add(**purge(1))
-    relay.at(2)
-    nothing.hold(2)
+    relay.wait_until_at(2)
+    nothing.send_poll(2)
     until(lambda: relay.status()["held"] == 2)
     relay.program.process.terminate()
-    for poll, expected in ((some, [2]), (nothing, [])):
-        status, fields, page = poll.read()
+    for follower, expected in ((some, [2]), (nothing, [])):
+        status, fields, page = follower.read()
         assert status == 200 and fields["connection"] == "close" and numbers(page) == expected
-        assert poll.ended()
-    assert silent.ended()
+        assert follower.closed_by_peer()
+    assert silent.closed_by_peer()
     assert relay.program.wait() == 0
     assert relay.program.lines[-1] == "stopped"
 
 
-def more_than_the_system_takes(log: ChangeLog) -> None:
-    """A page of 7 MB: over what the system holds for a connection whose follower takes little."""
+def add_large_backlog(log: ChangeLog) -> None:
+    """Add 7 MB of events: more than the kernel buffers for a connection with a small receive buffer."""
     for n in range(24_000):
         log.events.append({"seq": n + 2, **purge(n), "note": "x" * 220})
 
 
-@pytest.mark.timing("the process ends although an answer has 2 s to be taken")
-def test_it_ends_though_an_answer_is_not_taken(log: ChangeLog, start: Start) -> None:
-    more_than_the_system_takes(log)
-    relay = start(ring_events=65_536, page_events=65_536).at(24_001)
-    poll = relay.poll(takes=65_536)
-    poll.hold(0)
+@pytest.mark.timing("the process stops although the peer has 2 s to read a response")
+def test_the_process_stops_although_a_response_is_not_read(log: ChangeLog, start: Start) -> None:
+    add_large_backlog(log)
+    relay = start(ring_events=65_536, page_events=65_536).wait_until_at(24_001)
+    follower = relay.connect(receive_buffer=65_536)
+    follower.send_poll(0)
     until(lambda: relay.status()["answers"]["plain"] == 1)
-    assert relay.program.stop() == 0  # in time, ...
-    got = 0
+    assert relay.program.stop() == 0  # in time
+    received = 0
     with contextlib.suppress(ConnectionResetError):
-        while more := poll.sock.recv(1 << 20):
-            got += len(more)
-    assert 0 < got < 6_000_000  # ...and there were bytes that had not been taken
+        while more := follower.sock.recv(1 << 20):
+            received += len(more)
+    assert 0 < received < 6_000_000  # part of the response was not sent
 
 
-@pytest.mark.timing("an answer has 2 s to be taken")
-def test_an_answer_that_is_not_taken_ends_its_connection(log: ChangeLog, start: Start) -> None:
-    more_than_the_system_takes(log)
-    relay = start(ring_events=65_536, page_events=65_536).at(24_001)
-    stuck, slow = relay.poll(takes=65_536), relay.poll(takes=65_536)
-    stuck.hold(0)
+@pytest.mark.timing("the peer has 2 s to read a response")
+def test_a_response_that_is_not_read_closes_its_connection(log: ChangeLog, start: Start) -> None:
+    add_large_backlog(log)
+    relay = start(ring_events=65_536, page_events=65_536).wait_until_at(24_001)
+    stuck, slow = relay.connect(receive_buffer=65_536), relay.connect(receive_buffer=65_536)
+    stuck.send_poll(0)
     until(lambda: relay.status()["answers"]["plain"] == 1)
-    # One that takes it late, but takes it, is served as any other from then on.
-    slow.hold(0)
+    # A follower that reads its response late is served normally from then on.
+    slow.send_poll(0)
     until(lambda: relay.status()["answers"]["plain"] == 2)
     assert len(slow.read()[2]["results"]) == 24_001
-    slow.hold(24_001)
-    until(lambda: (said := relay.status())["held"] == 1 and said["connections"] == 2)  # stuck's is gone
+    slow.send_poll(24_001)
+    # The stuck connection is closed, which leaves this one and that of the status request.
+    until(lambda: (report := relay.status())["held"] == 1 and report["connections"] == 2)
     log.add(**purge(1))
     assert numbers(slow.read()[2]) == [24_002]
-    slow.hold(24_002, wait=0)
-    slow.hold(24_001, wait=0)
+    slow.send_poll(24_002, wait=0)
+    slow.send_poll(24_001, wait=0)
     assert [len(slow.read()[2]["results"]) for _ in range(2)] == [0, 1]
 
 
-def test_bytes_behind_a_held_poll_wait(log: ChangeLog, start: Start) -> None:
-    relay = start(gather_ms=0).at(1)
-    poll = relay.poll()
-    for since in (1, 2, 0):  # in one write, and behind it more than is ever read ahead
-        poll.hold(since)
+def test_bytes_after_a_waiting_poll_stay_unread(log: ChangeLog, start: Start) -> None:
+    relay = start(gather_ms=0).wait_until_at(1)
+    follower = relay.connect()
+    for since in (1, 2, 0):  # pipelined, followed by more than the relay reads ahead
+        follower.send_poll(since)
     for _ in range(200):
-        poll.send("/changes?since=0&timeout=0", Padding="x" * 200)
+        follower.send("/changes?since=0&timeout=0", Padding="x" * 200)
     until(lambda: relay.status()["held"] == 1)
     log.add(**purge(1))
-    assert numbers(poll.read()[2]) == [2]
+    assert numbers(follower.read()[2]) == [2]
     until(lambda: relay.status()["held"] == 1)
     assert relay.status()["answers"]["polls"] == 2
     log.add(**purge(2))
-    assert numbers(poll.read()[2]) == [3]
+    assert numbers(follower.read()[2]) == [3]
     for _ in range(201):
-        assert numbers(poll.read()[2]) == [1, 2, 3]
+        assert numbers(follower.read()[2]) == [1, 2, 3]
 
 
-def test_who_leaves_a_held_poll_is_forgotten(log: ChangeLog, start: Start) -> None:
-    relay = start().at(1)
+def test_followers_that_disconnect_while_waiting_are_removed(log: ChangeLog, start: Start) -> None:
+    relay = start().wait_until_at(1)
     for _ in range(3):
-        poll = relay.poll()
-        poll.hold(1)
+        follower = relay.connect()
+        follower.send_poll(1)
     until(lambda: relay.status()["followers"] == 3)
-    for poll in relay.open:
-        poll.close()
-    until(lambda: (said := relay.status())["followers"] == said["held"] == 0 and said["connections"] == 1)
-
-
-def test_followers_beyond_the_bound_are_turned_away(log: ChangeLog, start: Start) -> None:
-    relay = start(followers=3).at(1)
-    polls = [relay.poll() for _ in range(3)]
-    for poll in polls:
-        assert poll.ask("/changes?since=0&timeout=0")[0] == 200
+    for follower in relay.connections:
+        follower.close()
+    until(
+        lambda: (report := relay.status())["followers"] == report["held"] == 0 and report["connections"] == 1
+    )
+
+
+def test_followers_above_the_limit_are_rejected(log: ChangeLog, start: Start) -> None:
+    relay = start(followers=3).wait_until_at(1)
+    followers = [relay.connect() for _ in range(3)]
+    for follower in followers:
+        assert follower.request("/changes?since=0&timeout=0")[0] == 200
     status, fields, _ = relay.changes(0)
     assert status == 503 and fields["connection"] == "close" and fields["retry-after"] == "1"
-    polls[0].close()
+    followers[0].close()
     until(lambda: relay.changes(0)[0] == 200)
 
 
-def test_a_full_relay_tells_its_status_and_nothing_else(log: ChangeLog, start: Start) -> None:
-    """Guard: the few places over the bound. They are no places for followers, and bounded themselves."""
-    relay = start(followers=2).at(1)
-    polls: list[Poll] = []
-    while len(polls) < 2:
-        poll = relay.poll()  # the connection that asked for the status may still be counted
-        if poll.ask("/changes?since=0&timeout=0")[0] == 200:
-            polls.append(poll)
+def test_a_relay_at_its_limit_serves_only_its_status(log: ChangeLog, start: Start) -> None:
+    """Guards the connections above the limit: they serve no polls, and their number is limited."""
+    relay = start(followers=2).wait_until_at(1)
+    followers: list[FollowerConnection] = []
+    while len(followers) < 2:
+        follower = relay.connect()  # the connection of the status request may still be counted
+        if follower.request("/changes?since=0&timeout=0")[0] == 200:
+            followers.append(follower)
     assert relay.status()["followers"] == 2
-    late = relay.poll()
-    assert late.ask("/status")[0] == 200
-    status, fields, _ = late.ask("/changes?since=0&timeout=0")
+    late = relay.connect()
+    assert late.request("/status")[0] == 200
+    status, fields, _ = late.request("/changes?since=0&timeout=0")
     assert status == 503 and fields["connection"] == "close" and fields["retry-after"] == "1"
     silent = [socket.create_connection(("127.0.0.1", relay.port)) for _ in range(MAX_STATUS_CONNECTIONS + 1)]
     silent[-1].settimeout(DEADLINE)
-    assert silent[-1].recv(12) == b"HTTP/1.1 503"  # unasked: there is no place over the bound either
+    assert silent[-1].recv(12) == b"HTTP/1.1 503"  # without a request: no status connection is free
     for sock in silent:
         sock.close()
     answers: list[Any] = []
 
     def answered() -> bool:
-        answers.append(relay.ask("/status"))  # 503 while the connections that were just closed still count
+        answers.append(relay.request("/status"))  # 503 while the connections just closed still count
         return bool(answers[-1][0] == 200)
 
     until(answered)
-    rejections = 2 + len(answers) - 1  # the late poll, the last silent connection, and those just made
+    # Rejected were the late poll, the last silent connection, and the status requests answered with 503.
+    rejections = 2 + len(answers) - 1
     assert answers[-1][2]["answers"]["turned_away"] >= rejections
 
 
@@ -431,79 +438,81 @@
         b"GET /" + b"x" * 5000,
     ],
 )
-def test_bad_requests_are_told_and_closed(log: ChangeLog, start: Start, request_bytes: bytes) -> None:
-    relay = start().at(1)
-    poll = relay.poll()
-    poll.sock.sendall(request_bytes)
-    status, fields, _ = poll.read()
-    assert status == 400 and fields["connection"] == "close" and poll.ended()
+def test_bad_requests_get_400_and_are_closed(log: ChangeLog, start: Start, request_bytes: bytes) -> None:
+    relay = start().wait_until_at(1)
+    follower = relay.connect()
+    follower.sock.sendall(request_bytes)
+    status, fields, _ = follower.read()
+    assert status == 400 and fields["connection"] == "close" and follower.closed_by_peer()
     assert relay.changes(0)[0] == 200
 
 
 def test_other_paths_and_methods(log: ChangeLog, start: Start) -> None:
-    relay = start().at(1)
-    poll = relay.poll()
-    assert poll.ask("/")[0] == poll.ask("/changes/")[0] == 404
+    relay = start().wait_until_at(1)
+    follower = relay.connect()
+    assert follower.request("/")[0] == follower.request("/changes/")[0] == 404
     for method in ("POST", "HEADS", "DELETE"):
-        status, fields, _ = poll.ask("/changes?since=0", method)
+        status, fields, _ = follower.request("/changes?since=0", method)
         assert status == 405 and fields["allow"] == "GET"
-    assert poll.ask("/status", "PUT")[0] == 405
-    assert numbers(poll.ask("/changes")[2]) == [1]  # from 0, without a wait
-    assert poll.ask("/changes?since=0&timeout=0", Connection="close")[1]["connection"] == "close"
-    assert poll.ended()
+    assert follower.request("/status", "PUT")[0] == 405
+    assert numbers(follower.request("/changes")[2]) == [1]  # defaults: from 0, without a wait
+    assert follower.request("/changes?since=0&timeout=0", Connection="close")[1]["connection"] == "close"
+    assert follower.closed_by_peer()
 
 
-@pytest.mark.timing("news is current for 0.4 s")
-def test_a_log_that_is_silent_is_told_and_comes_back(start: Start) -> None:
-    """503 keeps the connection, and goes to held polls at once."""
-    quiet = threading.Event()
+@pytest.mark.timing("the relay is current for 0.4 s")
+def test_a_silent_log_makes_the_relay_stale_until_it_answers(start: Start) -> None:
+    """503 keeps the connection open, and is sent to waiting polls at once."""
+    silent = threading.Event()
     log = ChangeLog()
-    log.add(**a_list("a", reset=True))
-    answers = log._http.reply
+    log.add(**list_update("a", reset=True))
+    answer = log._http.reply
 
-    def reply(seen: Any) -> bytes | None:
-        return None if quiet.is_set() else answers(seen)
+    def reply(request: Any) -> bytes | None:
+        return None if silent.is_set() else answer(request)
 
     log._http.reply = reply
-    relay = start(upstream=[log.address], current_ms=400, wait_ms=100).at(1)
-    held = relay.poll()
-    held.hold(1)
+    relay = start(upstream=[log.address], current_ms=400, wait_ms=100).wait_until_at(1)
+    follower = relay.connect()
+    follower.send_poll(1)
     until(lambda: relay.status()["held"] == 1)
-    quiet.set()
-    status, fields, _ = held.read()
+    silent.set()
+    status, fields, _ = follower.read()
     assert status == 503 and fields["retry-after"] == "1" and "connection" not in fields
-    assert held.ask("/changes?since=0&timeout=0")[0] == 503
+    assert follower.request("/changes?since=0&timeout=0")[0] == 503
     assert not relay.status()["current"]
-    quiet.clear()
-    relay.at(1)
-    assert numbers(held.ask("/changes?since=0&timeout=0")[2]) == [1]
+    silent.clear()
+    relay.wait_until_at(1)
+    assert numbers(follower.request("/changes?since=0&timeout=0")[2]) == [1]
 
 
-def test_two_that_follow_each_other_take_nothing(tmp_path: Path, log: ChangeLog, start: Start) -> None:
-    first = start("first").at(1)
-    second = start("second", upstream=[first.address]).at(1)
+def test_two_relays_that_follow_each_other_reject_all_events(
+    tmp_path: Path, log: ChangeLog, start: Start
+) -> None:
+    first = start("first").wait_until_at(1)
+    second = start("second", upstream=[first.address]).wait_until_at(1)
     first.write(upstream=[second.address])
     first.program.process.send_signal(signal.SIGHUP)
     until(lambda: any("events in a loop of relays: over " in line for line in first.program.lines))
     until(lambda: first.changes(1)[0] == second.changes(1)[0] == 503)
     first.write(upstream=[second.address, log.address])
     first.program.process.send_signal(signal.SIGHUP)
-    first.at(1)
-    second.at(1)
+    first.wait_until_at(1)
+    second.wait_until_at(1)
 
 
-def test_a_file_read_anew(tmp_path: Path, log: ChangeLog, start: Start) -> None:
-    relay = start(followers=1).at(1)
-    poll = relay.poll()
-    assert poll.ask("/changes?since=0&timeout=0")[0] == 200
+def test_sighup_reloads_the_file(tmp_path: Path, log: ChangeLog, start: Start) -> None:
+    relay = start(followers=1).wait_until_at(1)
+    follower = relay.connect()
+    assert follower.request("/changes?since=0&timeout=0")[0] == 200
     assert relay.changes(0)[0] == 503
     for bad in ({"name": "other"}, {"followers": "many"}):
-        kept = dict(relay.keys)
+        former_settings = dict(relay.settings)
         relay.write(**{**bad, "current_ms": 2000})
         relay.program.process.send_signal(signal.SIGHUP)
         until(lambda: sum("stays as it was" in line for line in relay.program.lines))
         relay.program.lines.clear()
-        relay.keys = kept
+        relay.settings = former_settings
     relay.write(followers=5, upstream=["127.0.0.1:1", log.address])
     relay.program.process.send_signal(signal.SIGHUP)
     until(lambda: "the configuration was read anew" in relay.program.lines)
@@ -524,18 +533,22 @@
         {"members": 0}, {"current_ms": 0}, {"spread_ms": -1}, {"wait_ms": 6000}, {"colour": 1},
     ],
 )  # fmt: skip
-def test_a_bad_file_is_one_line_and_a_status(tmp_path: Path, changed: dict[str, Any]) -> None:
-    keys = {key: value for key, value in {**GOOD, **changed}.items() if value is not None}
+def test_an_invalid_file_ends_the_process_with_one_line(tmp_path: Path, changed: dict[str, Any]) -> None:
+    settings = {key: value for key, value in {**GOOD, **changed}.items() if value is not None}
     file = tmp_path / "relay.toml"
-    file.write_text("".join(f"{key} = {json.dumps(value)}\n" for key, value in keys.items()))
-    ran = subprocess.run([sys.executable, "-m", "hallproxy", "relay", str(file)],
+    file.write_text("".join(f"{key} = {json.dumps(value)}\n" for key, value in settings.items()))
+    completed = subprocess.run([sys.executable, "-m", "hallproxy", "relay", str(file)],
                          cwd=ROOT, capture_output=True, text=True, timeout=DEADLINE)  # fmt: skip
-    assert ran.returncode == 1 and ran.stdout == ""
-    (said,) = ran.stderr.splitlines()
-    assert said.startswith("hallproxy: ") and next(iter(changed)) in said
+    assert completed.returncode == 1 and completed.stdout == ""
+    (error_line,) = completed.stderr.splitlines()
+    assert error_line.startswith("hallproxy: ") and next(iter(changed)) in error_line
 
 
-def test_a_file_that_is_not_there(tmp_path: Path) -> None:
-    ran = subprocess.run([sys.executable, "-m", "hallproxy", "relay", str(tmp_path / "none.toml")],
+def test_a_missing_file_ends_the_process(tmp_path: Path) -> None:
+    completed = subprocess.run([sys.executable, "-m", "hallproxy", "relay", str(tmp_path / "none.toml")],
                          cwd=ROOT, capture_output=True, text=True, timeout=DEADLINE)  # fmt: skip
-    assert ran.returncode == 1 and "can't be read" in ran.stderr and "Traceback" not in ran.stderr
+    assert (
+        completed.returncode == 1
+        and "can't be read" in completed.stderr
+        and "Traceback" not in completed.stderr
+    )
