--- a/hallproxy/feed/freshness.py
+++ b/hallproxy/feed/freshness.py
@@ -43,7 +43,7 @@
     def check_path(self, via: tuple[str, ...]) -> None:
         """FeedError where the events have passed this relay already, or too many relays."""
         if self.name in via:
-            raise FeedError(f"events in a loop of relays: over {', '.join(via)}")
+            raise FeedError(f"loop of relays: events arrived via {', '.join(via)}")
         if len(via) > MAX_RELAYS:
             raise FeedError(f"events have passed more than {MAX_RELAYS} relays")
 
--- a/hallproxy/relay/connection.py
+++ b/hallproxy/relay/connection.py
@@ -11,7 +11,7 @@
     """The state of a connection."""
 
     IDLE = "idle"  # no request in progress
-    WAITING = "waiting"  # its poll waits for events
+    WAITING = "held"  # its poll waits for events
     SENDING = "sending"  # a response is not completely sent yet
     ENDING = "ending"  # half-closed: what the peer still sends is discarded
     CLOSED = "closed"
--- a/hallproxy/relay/front.py
+++ b/hallproxy/relay/front.py
@@ -185,7 +185,7 @@
         return now < self._catch_up_until
 
     def _may_recover(self, now: int) -> bool:
-        """Whether the log may be stale only because the process stalled; polls wait for the upstream then."""
+        """Whether the log is stale only because the process stalled, so that polls wait for the upstream."""
         return self.freshness.is_stale(now) and self._is_catching_up(now) and not self.stopping
 
     def _on_timer(self, connection: Connection, now: int) -> None:
@@ -298,9 +298,8 @@
         connection.buffer += data
         self._parse_next(connection)
         if connection.state is ConnectionState.IDLE:
-            if (
-                connection.buffer and was_empty and connection.generation
-            ):  # the first head's timeout runs from the connect
+            # The timeout of the first head runs from the connect.
+            if connection.buffer and was_empty and connection.generation:
                 connection.generation += 1
                 self._timers.schedule(connection, self._now() + HEAD_TIMEOUT)
             if connection.streamed:
@@ -520,9 +519,7 @@
         except Exception as error:  # noqa: BLE001 - a fault must end one connection only
             frame = traceback.extract_tb(error.__traceback__)[-1]
             location = f"{frame.name}, line {frame.lineno}"
-            log_line(
-                f"connection of {connection.peer} closed on {type(error).__name__}: {error} ({location})"
-            )
+            log_line(f"fault at {connection.peer}: {type(error).__name__}: {error} ({location})")
             self._close(connection)
 
     # Stopping
--- a/hallproxy/relay/upstream.py
+++ b/hallproxy/relay/upstream.py
@@ -104,7 +104,7 @@
         self.byte_count += response.size
         if log.caught_up:
             generated_at = response.polled_at
-            # An empty page on a connection that stays open was generated no earlier than the end of its wait.
+            # An empty page after the full wait, on a connection that stays open, was generated at its end.
             if (
                 not response.page["results"]
                 and response.head.keep_alive
