--- a/tests/repository/test_simple.py
+++ b/tests/repository/test_simple.py
@@ -1,4 +1,4 @@
-"""The repository's targets, negotiation and indexes against tables of cases."""
+"""Request targets, media type negotiation and index decoding."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 @pytest.mark.parametrize(
-    ("target", "wanted"),
+    ("target", "expected"),
     [
-        ("/simple/", simple.Wanted()),
-        ("/simple/a-b/", simple.Wanted("a-b")),
-        ("/simple/A_b", simple.Wanted("a-b", moved="/simple/a-b/")),
-        (f"/files/a/{SHA}/a-1.0.tar.gz", simple.Wanted("a", SHA, "a-1.0.tar.gz")),
+        ("/simple/", simple.Target()),
+        ("/simple/a-b/", simple.Target("a-b")),
+        ("/simple/A_b", simple.Target("a-b", redirect_path="/simple/a-b/")),
+        (f"/files/a/{SHA}/a-1.0.tar.gz", simple.Target("a", SHA, "a-1.0.tar.gz")),
         (f"/files/a/{SHA}/..%2fx", None),
         ("/files/a/short/a.whl", None),
         ("/simple/../etc", None),
         ("/", None),
     ],
 )
-def test_targets(target: str, wanted: simple.Wanted | None) -> None:
-    assert simple.read_target(target) == wanted
+def test_targets(target: str, expected: simple.Target | None) -> None:
+    assert simple.parse_target(target) == expected
 
 
 @pytest.mark.parametrize(
@@ -38,8 +38,8 @@
         ("image/png", None),
     ],
 )
-def test_negotiation(accept: str, media: str | None) -> None:
-    assert simple.choose(accept) == media
+def test_media_type_negotiation(accept: str, media: str | None) -> None:
+    assert simple.choose_media_type(accept) == media
 
 
 FILE = simple.File("a-1.whl", "/p/a-1.whl", SHA, ">=3.8", "broken", None)
@@ -48,7 +48,7 @@
  <a href="http://elsewhere/p/b.whl#sha256={SHA}">b.whl</a></body></html>"""
 
 
-def test_indexes_in_both_forms_mean_the_same() -> None:
+def test_indexes_of_both_formats_are_equivalent() -> None:
     index = simple.read_index(PAGE.encode(), "text/html; charset=utf-8", "/simple/A/", ())
     assert index == simple.Index("a", (FILE,))
     assert simple.unpack_index(simple.pack_index(index), "a") == index
@@ -57,6 +57,6 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b'{"meta":{"api-version":"2.0"},"files":[]}', b'{"files":1}'])
-def test_bad_indexes(body: bytes) -> None:
+def test_invalid_indexes_are_rejected(body: bytes) -> None:
     with pytest.raises(simple.BadIndex):
         simple.read_index(body, simple.JSON, "/simple/a/")
