--- a/hallproxy/lab/soak/__init__.py
+++ b/hallproxy/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A seeded soak of one gateway process among stand-ins on loopback, checked against the protocol's rules."""
+"""Seeded soak test of a gateway process with stand-ins on loopback, checked against the protocol's rules."""
--- a/hallproxy/lab/soak/changelog.py
+++ b/hallproxy/lab/soak/changelog.py
@@ -1,4 +1,4 @@
-"""The stand-in change log: long polls over HTTP/1.1, silent or down for a while, at new addresses."""
+"""The stand-in change log: long polls over HTTP/1.1, with unresponsive and down modes and address changes."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 class ChangeLogStandin:
-    """Numbered events; what a gateway is told is told to the rules with its time."""
+    """Serves numbered events and reports to the rules when the gateway was notified of each."""
 
     def __init__(self, rules: Rules) -> None:
         self._rules = rules
         self.events: list[dict[str, Any]] = []
-        self.mode = LogMode.GOOD
-        self._notified = 0  # number of the last event that the gateway has
-        self._sent: dict[asyncio.StreamWriter, tuple[int, float]] = {}  # last number sent there, and when
-        self._more = asyncio.Event()
+        self.mode = LogMode.NORMAL
+        self._notified = 0  # number of the last event that the gateway has received
+        self._sent: dict[asyncio.StreamWriter, tuple[int, float]] = {}  # last event number sent, and when
+        self._changed = asyncio.Event()
         self._server = StandinServer(self._serve)
 
     @property
     def address(self) -> str:
-        """HOST:PORT of now."""
+        """The current address as HOST:PORT."""
         return f"127.0.0.1:{self._server.port}"
 
     async def start(self) -> None:
-        """Listen at a new port."""
+        """Listen on a new port."""
         await self._server.start()
 
     def add(self, **event: Any) -> None:
@@ -44,74 +44,74 @@
         self._wake()
 
     def page(self, since: int = 0) -> dict[str, Any]:
-        """The events after a number."""
+        """The events after ``since``, as a response body."""
         return {"seq": len(self.events), "results": self.events[since:]}
 
     async def set_mode(self, mode: LogMode) -> None:
-        """Change how polls are treated; what is open and waits is treated so as well."""
-        was, self.mode = self.mode, mode
+        """Change how polls are handled, including those that are waiting."""
+        previous_mode, self.mode = self.mode, mode
         if mode is LogMode.DOWN:
             self.stop()
-        elif was is LogMode.DOWN:
+        elif previous_mode is LogMode.DOWN:
             await self._server.start(self._server.port)
         self._wake()
 
     async def move(self) -> None:
-        """Go to a new address; connections to the former one stay open and silent."""
+        """Move to a new address; connections to the old one stay open without a response."""
         self._server.close_port()
         self._server.connections.clear()
         await self.start()
 
     def stop(self) -> None:
-        """Close the port and reset what is open."""
+        """Close the port and reset the open connections."""
         self._server.stop()
 
     def _wake(self) -> None:
-        self._more.set()
-        self._more = asyncio.Event()
+        self._changed.set()
+        self._changed = asyncio.Event()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head = await reader.readuntil(HEAD_END)
             poll = POLL.match(head)
             if poll is None:
-                self._rules.violate("form", f"a poll that can't be read: {head[:80]!r}")
+                self._rules.violate("form", f"received an invalid poll: {head[:80]!r}")
                 return
-            self._note_notified(writer, int(poll[1]))
+            self._record_notified(writer, int(poll[1]))
             await self._answer(writer, int(poll[1]), int(poll[2]) * MS)
 
     async def _answer(self, writer: asyncio.StreamWriter, since: int, wait: float) -> None:
-        until = asyncio.get_running_loop().time() + wait
+        deadline = asyncio.get_running_loop().time() + wait
         while (
-            self.mode is not LogMode.GOOD
+            self.mode is not LogMode.NORMAL
             or writer not in self._server.connections
             or since >= len(self.events)
         ):
-            left = until - asyncio.get_running_loop().time()
-            silent = self.mode is not LogMode.GOOD or writer not in self._server.connections
-            if left <= 0 and not silent:
+            remaining = deadline - asyncio.get_running_loop().time()
+            unresponsive = self.mode is not LogMode.NORMAL or writer not in self._server.connections
+            if remaining <= 0 and not unresponsive:
                 break
-            more = self._more
+            changed = self._changed
             try:
-                await asyncio.wait_for(more.wait(), None if silent else left)
+                await asyncio.wait_for(changed.wait(), None if unresponsive else remaining)
             except TimeoutError:
                 break
         body = json.dumps(self.page(since)).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         self._sent[writer] = len(self.events), time.time()
 
-    def _note_notified(self, writer: asyncio.StreamWriter, since: int) -> None:
-        """A poll shows that the answer ahead of it here has arrived, and what the gateway holds."""
+    def _record_notified(self, writer: asyncio.StreamWriter, since: int) -> None:
+        """Record what a poll proves to have arrived: the last response on its connection, and ``since``."""
         last, sent_at = self._sent.get(writer, (0, 0.0))
         if since > last:
-            # Its page came by another connection, at the latest now.
+            # The page arrived over another connection, now at the latest.
             last, sent_at = (
                 since,
                 max((at for n, at in self._sent.values() if n >= since), default=time.time()),
             )
         for event in self.events[self._notified : last]:
-            for line in event.get("fleet", {}).get("instances", ()):
-                self._rules.store_notified(line["instanceId"], line["lifecycle"] != "Ready", sent_at)
+            for entry in event.get("fleet", {}).get("instances", ()):
+                self._rules.store_notified(entry["instanceId"], entry["lifecycle"] != "Ready", sent_at)
             purge = event.get("invalidate")
             if purge is not None:
                 object_id = int(purge["object"] or "0", 16)
--- a/hallproxy/lab/soak/clients.py
+++ b/hallproxy/lab/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the platform's front that use their connections until the gateway's kill."""
+"""Clients of the platform front that use their connections until the gateway is killed."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hallproxy.lab.soak.plan import CLASS_NAMES, KEYED, ONCE
-from hallproxy.lab.soak.rules import ANSWER_GRACE, Rules
+from hallproxy.lab.soak.plan import CLASS_NAMES, KEYED_CLASS, ONCE_CLASS
+from hallproxy.lab.soak.rules import RESPONSE_GRACE, Rules
 from hallproxy.wire import frames
 
-CROSSING = 0.05  # s between a request and the end of a connection with nothing in flight that it may cross
-MAX_IN_FLIGHT = 30  # requests of one connection
+CROSSING_WINDOW = 0.05  # s; a request written this shortly before an idle close may cross it
+MAX_IN_FLIGHT = 30  # requests per connection
 OBJECTS = 12
 CANCEL_SHARE = 0.05  # of requests
-STUBBORN_SHARE = 0.5  # of clients, which go on after a go-away
+IGNORES_GO_AWAY_SHARE = 0.5  # of clients; they keep sending after a GO_AWAY frame
 FRESH_FOR_MS = {"small": 2_000}
-HEAD_BYTES = 9  # of a frame: length, type, stream
-_IDS = itertools.count(1)
+HEAD_BYTES = 9  # of a frame head: length, type, stream
+_REQUEST_IDS = itertools.count(1)
 
 
 @dataclass(eq=False)
 class PendingRequest:
-    """A request that has been written and is owed an answer."""
+    """A request that has been written and has no response yet."""
 
     request_id: str
     class_name: str
     object_id: int
     part: int
     written_at: float  # Unix s
-    time_left: float  # s
+    timeout: float  # s
 
     @property
     def group(self) -> int:
@@ -42,80 +42,80 @@
 
 @dataclass
 class Tally:
-    """What all clients got."""
+    """Counts over all clients."""
 
     requests: int = 0
     codes: dict[int, int] = field(default_factory=dict)
-    crossed: int = 0  # requests that crossed the end of their connection
+    crossed: int = 0  # requests that crossed the close of their connection
     cancelled: int = 0
 
 
 class SoakClient(asyncio.Protocol):
-    """One connection, from its connect to the kill or its end."""
+    """One connection, until it closes or the gateway is killed."""
 
-    def __init__(self, rules: Rules, tally: Tally, drawn: random.Random, class_deadline: float) -> None:
-        self._rules, self._tally, self._drawn = rules, tally, drawn
+    def __init__(self, rules: Rules, tally: Tally, rng: random.Random, class_deadline: float) -> None:
+        self._rules, self._tally, self._rng = rules, tally, rng
         self._class_deadline = class_deadline
-        self._stubborn = drawn.random() < STUBBORN_SHARE
+        self._ignores_go_away = rng.random() < IGNORES_GO_AWAY_SHARE
         self._received = bytearray()
         self._last_stream = 0
         self._answered: set[int] = set()
-        self._is_new = True  # nothing has come on it
-        self.turned_away_allowed = False  # the descriptors are full of idle clients
+        self._nothing_received = True
+        self.refusal_allowed = False  # idle clients may exhaust the gateway's descriptors
         self.pending: dict[int, PendingRequest] = {}
         self.transport: asyncio.Transport | None = None
-        self.told_to_go_away = False
-        self._readiness_stream = 0  # asked once the gateway was told to end
-        self.ready_code_when_stopping: int | None = None
+        self.go_away_received = False
+        self._readiness_stream = 0  # of the readiness request sent after SIGTERM
+        self.readiness_code_after_sigterm: int | None = None
         self.ended = False
 
     @property
     def may_request(self) -> bool:
-        """Whether another request may be sent on it."""
-        going = not self.told_to_go_away or self._stubborn
-        return not self.ended and going and len(self.pending) < MAX_IN_FLIGHT
+        """Whether another request may be sent on this connection."""
+        accepts_requests = not self.go_away_received or self._ignores_go_away
+        return not self.ended and accepts_requests and len(self.pending) < MAX_IN_FLIGHT
 
     def request(self) -> None:
-        """Send a drawn request."""
-        drawn = self._drawn
+        """Send a randomly drawn request."""
+        rng = self._rng
         pending = PendingRequest(
-            f"{next(_IDS):016x}",
-            drawn.choice(CLASS_NAMES),
-            drawn.randrange(1, OBJECTS),
+            f"{next(_REQUEST_IDS):016x}",
+            rng.choice(CLASS_NAMES),
+            rng.randrange(1, OBJECTS),
             0,
             time.time(),
-            self._class_deadline * drawn.choice((0.05, 0.3, 1.0, 1.0)),
+            self._class_deadline * rng.choice((0.05, 0.3, 1.0, 1.0)),
         )
         self.write(pending)
-        if drawn.random() < CANCEL_SHARE:
+        if rng.random() < CANCEL_SHARE:
             stream = self._last_stream
-            asyncio.get_running_loop().call_later(drawn.uniform(0.0, 0.1), self._cancel, stream)
+            asyncio.get_running_loop().call_later(rng.uniform(0.0, 0.1), self._cancel, stream)
 
     def write(self, pending: PendingRequest) -> None:
-        """Send this request on a new stream."""
+        """Send the request on a new stream."""
         assert self.transport is not None
         self._last_stream += 1
         fields = {
             "op": pending.class_name,
             "call": pending.request_id,
-            "ttl": f"{pending.time_left * 1e3:.0f}",
+            "ttl": f"{pending.timeout * 1e3:.0f}",
         }
         fields |= {"row": f"{pending.object_id:016x}", "nth": str(pending.part), "batch": str(pending.group)}
         fields |= {"heap": "40.0"}
-        if pending.class_name == KEYED:
+        if pending.class_name == KEYED_CLASS:
             fields["dedupe"] = pending.request_id * 2
-        body = b"w" * 100 if pending.class_name in (KEYED, ONCE) else b""
+        body = b"w" * 100 if pending.class_name in (KEYED_CLASS, ONCE_CLASS) else b""
         payload = frames.encode_fields(fields) + body
         pending.written_at = time.time()
         self.pending[self._last_stream] = pending
         self._tally.requests += 1
         self.transport.write(b"".join(frames.encode_frame(frames.REQUEST, self._last_stream, payload)))
 
-    def ask_readiness(self, stopping: bool = False) -> None:
-        """Ask whether the gateway takes new work."""
+    def request_readiness(self, after_sigterm: bool = False) -> None:
+        """Ask whether the gateway accepts new requests."""
         if self.transport is not None and not self.ended:
             self._last_stream += 1
-            if stopping:
+            if after_sigterm:
                 self._readiness_stream = self._last_stream
             fields = frames.encode_fields({})
             frame = frames.encode_frame(frames.READINESS_REQUEST, self._last_stream, fields)
@@ -128,13 +128,13 @@
             self.transport.write(b"".join(frames.encode_frame(frames.CANCEL, stream)))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Take the frames that are complete."""
-        self._is_new = False
+        """Handle the frames that are complete."""
+        self._nothing_received = False
         self._received += data
         while len(self._received) >= HEAD_BYTES:
             length, kind, stream = frames.HEAD.unpack_from(self._received)
@@ -143,79 +143,83 @@
                 return
             payload = bytes(self._received[HEAD_BYTES:end])
             del self._received[:end]
-            self._take(kind, stream, payload)
+            self._handle_frame(kind, stream, payload)
 
-    def _take(self, kind: int, stream: int, payload: bytes) -> None:
+    def _handle_frame(self, kind: int, stream: int, payload: bytes) -> None:
         if kind == frames.GO_AWAY:
-            self.told_to_go_away = True
+            self.go_away_received = True
         elif kind == frames.READINESS_RESPONSE:
             if stream == self._readiness_stream:
-                self.ready_code_when_stopping = payload[0]
+                self.readiness_code_after_sigterm = payload[0]
         elif kind == frames.RESPONSE:
-            self._take_answer(stream, payload)
+            self._handle_response(stream, payload)
         else:
-            self._rules.violate("lost", f"a frame of type {kind}")
+            self._rules.violate("lost", f"received an unexpected frame of type {kind}")
 
-    def _take_answer(self, stream: int, payload: bytes) -> None:
+    def _handle_response(self, stream: int, payload: bytes) -> None:
         pending = self.pending.pop(stream, None)
         code = payload[0]
         if pending is None:
             if stream == 0:
-                self._rules.violate("lost", f"an error on the connection: {payload[1:]!r}")
+                self._rules.violate("lost", f"received a connection error: {payload[1:]!r}")
             elif stream not in self._answered:
-                self._rules.violate("lost", f"an answer to stream {stream}, which nobody waits for")
+                self._rules.violate(
+                    "lost", f"received a response on stream {stream}, which has no pending request"
+                )
             elif stream in self._answered and code != 0:
-                return  # a cancel crossed it
+                return  # crossed the CANCEL frame
             return
         fields, body = frames.decode_fields(memoryview(payload)[1:])
         self._tally.codes[code] = self._tally.codes.get(code, 0) + 1
-        late = time.time() - pending.written_at - pending.time_left
-        if late > ANSWER_GRACE + self._rules.slack:
-            self._rules.violate("lost", f"{pending.request_id} is answered {late:.3f} s after its time")
+        late = time.time() - pending.written_at - pending.timeout
+        if late > RESPONSE_GRACE + self._rules.slack:
+            self._rules.violate("lost", f"{pending.request_id} was answered {late:.3f} s after its deadline")
         if code == frames.SERVED:
             self._check_served(pending, bytes(body))
         elif code == frames.REJECTED:
             self._rules.check_rejection(pending.request_id, pending.class_name)
         elif "error" in fields:
-            self._rules.violate("form", f"{pending.request_id} is answered with {fields['error']!r}")
+            self._rules.violate("form", f"{pending.request_id} was answered with error {fields['error']!r}")
 
     def _check_served(self, pending: PendingRequest, body: bytes) -> None:
         words = body.split(b" ")
         name = f"{pending.object_id:016x}".encode()
         if len(words) != 4 or words[:2] != [name, b"%d" % pending.part]:
-            self._rules.violate("lost", f"{pending.request_id} is served with {body[:40]!r}")
+            self._rules.violate("lost", f"{pending.request_id} was served with the wrong body {body[:40]!r}")
             return
-        born_ms = int(words[2])
+        generated_at_ms = int(words[2])
         self._rules.copy_used(
-            pending.request_id, pending.object_id, pending.group, born_ms, pending.written_at
+            pending.request_id, pending.object_id, pending.group, generated_at_ms, pending.written_at
         )
         fresh_for_ms = FRESH_FOR_MS.get(pending.class_name)
-        age_ms = pending.written_at * 1e3 - born_ms
+        age_ms = pending.written_at * 1e3 - generated_at_ms
         if fresh_for_ms is not None and age_ms > fresh_for_ms + 1e3 * self._rules.slack:
-            self._rules.violate("lost", f"{pending.request_id} is served with a copy of {age_ms:.0f} ms")
+            self._rules.violate(
+                "lost", f"{pending.request_id} was served with a copy that is {age_ms:.0f} ms old"
+            )
 
     def eof_received(self) -> bool:
-        """The gateway ends the connection in order."""
+        """Handle an orderly close by the gateway."""
         self._end("ended")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone."""
+        """Handle the loss of the connection."""
         self._end("reset" if exc is not None else "closed")
 
     def _end(self, how: str) -> None:
-        """What is pending now was lost, but for what crossed the end."""
+        """Count each pending request as lost unless it crossed the close."""
         if self.ended:
             return
         self.ended = True
         if self._received:
-            self._rules.violate("lost", f"a connection {how} amid a frame")
+            self._rules.violate("lost", f"a connection was {how} partway through a frame")
         now = time.time()
-        crossing = CROSSING + self._rules.slack
+        crossing = CROSSING_WINDOW + self._rules.slack
         all_cross = all(now - one.written_at <= crossing for one in self.pending.values())
-        turned_away = self._is_new and self.turned_away_allowed
+        refused = self._nothing_received and self.refusal_allowed
         for pending in self.pending.values():
-            if all_cross or turned_away:
+            if all_cross or refused:
                 self._tally.crossed += 1
             else:
                 age = now - pending.written_at
@@ -224,19 +228,21 @@
         self.pending.clear()
 
     def check_overdue(self) -> None:
-        """What was not answered in its time is lost."""
+        """Report each request without a response after its deadline as lost."""
         now = time.time()
         for pending in self.pending.values():
-            late = now - pending.written_at - pending.time_left
-            if late > ANSWER_GRACE + self._rules.slack:
-                self._rules.violate("lost", f"{pending.request_id} has no answer {late:.3f} s after its time")
+            late = now - pending.written_at - pending.timeout
+            if late > RESPONSE_GRACE + self._rules.slack:
+                self._rules.violate(
+                    "lost", f"{pending.request_id} has no response {late:.3f} s after its deadline"
+                )
 
 
-async def connect(port: int, *made_with: Any) -> SoakClient | None:
-    """A client's connection; None where the gateway's port is closed."""
+async def connect(port: int, *client_args: Any) -> SoakClient | None:
+    """Connect a client; return None if the gateway's port is closed."""
     loop = asyncio.get_running_loop()
     try:
-        _, client = await loop.create_connection(lambda: SoakClient(*made_with), "127.0.0.1", port)
+        _, client = await loop.create_connection(lambda: SoakClient(*client_args), "127.0.0.1", port)
     except OSError:
         return None
     return client
