--- a/hallproxy/lab/conformance.py
+++ b/hallproxy/lab/conformance.py
@@ -1,9 +1,10 @@
-"""What a package repository's clients may ask, point by point, of a front at any loopback address.
+"""Conformance checks of a package repository front at any loopback address.
 
     python -m hallproxy.lab.conformance --at 127.0.0.1:8081 --project charger-fw
 
-Each point names the section it comes from, asks, and looks at the answer. The report has a line for each; the
-status is 1 where a point fails. Points for which the index has nothing to ask about are skipped, and said.
+Each requirement names the section that it comes from, sends requests and checks the responses. The report has
+a line for each; the exit status is 1 if one fails. Requirements for which the
+project's index has no data are reported as skipped.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
 HTML = "application/vnd.pypi.simple.v1+html"
 
 
-class Skip(Exception):
-    """The repository holds nothing to ask this point about."""
+class Skipped(Exception):
+    """The repository has no data to check this requirement with."""
 
 
 @dataclass
-class Got:
+class HttpResponse:
     status: int
-    fields: dict[str, str]
+    headers: dict[str, str]
     body: bytes
 
 
@@ -43,41 +44,43 @@
         self.metas: list[tuple[str, str]] = []
 
     def handle_starttag(self, tag: str, attrs: list[tuple[str, str | None]]) -> None:
-        told = {name: value or "" for name, value in attrs}
+        attributes = {name: value or "" for name, value in attrs}
         if tag == "a":
-            self.links.append(told)
+            self.links.append(attributes)
         elif tag == "meta":
-            self.metas.append((told.get("name", ""), told.get("content", "")))
+            self.metas.append((attributes.get("name", ""), attributes.get("content", "")))
 
 
 @dataclass
-class Asker:
+class Client:
     host: str
     port: int
     project: str
     secret: str = ""
     held: dict[str, Any] = field(default_factory=dict)
 
-    def get(self, path: str, method: str = "GET", **fields: str) -> Got:
-        made = http.client.HTTPConnection(self.host, self.port, timeout=30)
-        told = {name.replace("_", "-"): value for name, value in fields.items()}
+    def get(self, path: str, method: str = "GET", **headers: str) -> HttpResponse:
+        connection = http.client.HTTPConnection(self.host, self.port, timeout=30)
+        request_headers = {name.replace("_", "-"): value for name, value in headers.items()}
         if self.secret:
-            told["Authorization"] = "Basic " + base64.b64encode(self.secret.encode()).decode()
+            request_headers["Authorization"] = "Basic " + base64.b64encode(self.secret.encode()).decode()
         try:
-            made.request(method, path, headers=told)
-            said = made.getresponse()
-            return Got(said.status, {k.lower(): v for k, v in said.getheaders()}, said.read())
+            connection.request(method, path, headers=request_headers)
+            response = connection.getresponse()
+            return HttpResponse(
+                response.status, {k.lower(): v for k, v in response.getheaders()}, response.read()
+            )
         finally:
-            made.close()
+            connection.close()
 
     @property
     def path(self) -> str:
         return f"/simple/{self.project}/"
 
     def index(self) -> dict[str, Any]:
-        got = self.get(self.path, Accept=JSON)
-        assert got.status == 200, f"status {got.status}"
-        found = json.loads(got.body)
+        response = self.get(self.path, Accept=JSON)
+        assert response.status == 200, f"status {response.status}"
+        found = json.loads(response.body)
         assert isinstance(found, dict)
         return found
 
@@ -86,55 +89,55 @@
         page.feed(self.get(self.path, Accept="text/html").body.decode())
         return page
 
-    def file(self, needs: Callable[[dict[str, Any]], Any] = lambda f: True) -> dict[str, Any]:
-        found = next((f for f in self.index()["files"] if needs(f)), None)
+    def file(self, predicate: Callable[[dict[str, Any]], Any] = lambda f: True) -> dict[str, Any]:
+        found = next((f for f in self.index()["files"] if predicate(f)), None)
         if found is None:
-            raise Skip("no such file in the index")
+            raise Skipped("no such file in the index")
         return dict(found)
 
 
 @dataclass(frozen=True)
-class Point:
+class Requirement:
     name: str
     section: str
-    check: Callable[[Asker], None]
+    check: Callable[[Client], None]
 
 
-POINTS: list[Point] = []
+REQUIREMENTS: list[Requirement] = []
 
 
-def point(name: str, section: str) -> Callable[[Callable[[Asker], None]], Callable[[Asker], None]]:
-    def keep(check: Callable[[Asker], None]) -> Callable[[Asker], None]:
-        POINTS.append(Point(name, section, check))
+def requirement(name: str, section: str) -> Callable[[Callable[[Client], None]], Callable[[Client], None]]:
+    def register(check: Callable[[Client], None]) -> Callable[[Client], None]:
+        REQUIREMENTS.append(Requirement(name, section, check))
         return check
 
-    return keep
+    return register
 
 
-# Names and forms ------------------------------------------------------------------------------------------
+# Names and formats ------------------------------------------------------------------------------------------
 
 
-@point("the list of projects names the project, in both forms", "PEP 503, 691")
-def _(a: Asker) -> None:
-    names = [p["name"] for p in json.loads(a.get("/simple/", Accept=JSON).body)["projects"]]
-    assert a.project in [re.sub(r"[-_.]+", "-", n).lower() for n in names]
-    assert f"/simple/{a.project}/" in a.get("/simple/").body.decode()
+@requirement("the list of projects contains the project, in both formats", "PEP 503, 691")
+def _(client: Client) -> None:
+    names = [p["name"] for p in json.loads(client.get("/simple/", Accept=JSON).body)["projects"]]
+    assert client.project in [re.sub(r"[-_.]+", "-", n).lower() for n in names]
+    assert f"/simple/{client.project}/" in client.get("/simple/").body.decode()
 
 
-@point("a name that is not normal, or has no slash, is sent to the one that is", "PEP 503")
-def _(a: Asker) -> None:
-    for path in (f"/simple/{a.project.upper().replace('-', '_')}/", f"/simple/{a.project}"):
-        got = a.get(path)
-        assert got.status in (301, 308) and got.fields["location"].endswith(a.path), got
+@requirement("a name that is not normalized or lacks the final slash is redirected", "PEP 503")
+def _(client: Client) -> None:
+    for path in (f"/simple/{client.project.upper().replace('-', '_')}/", f"/simple/{client.project}"):
+        response = client.get(path)
+        assert response.status in (301, 308) and response.headers["location"].endswith(client.path), response
 
 
-@point("an unknown project is a 404", "PEP 691")
-def _(a: Asker) -> None:
-    assert a.get("/simple/no-such-project-here/").status == 404
+@requirement("an unknown project gives a 404", "PEP 691")
+def _(client: Client) -> None:
+    assert client.get("/simple/no-such-project-here/").status == 404
 
 
-@point("the form is the one the client prefers, and is named", "PEP 691; RFC 9110 12.5.1")
-def _(a: Asker) -> None:
+@requirement("the format is the one that the client prefers, and is declared", "PEP 691; RFC 9110 12.5.1")
+def _(client: Client) -> None:
     for accept, media in (
         (JSON, JSON),
         (f"{JSON}, {HTML};q=0.2, text/html;q=0.01", JSON),
@@ -143,39 +146,42 @@
         ("text/html", "text/html"),
         ("*/*", "text/html"),
     ):
-        got = a.get(a.path, Accept=accept)
-        assert got.fields["content-type"].split(";")[0] == media, (accept, got.fields["content-type"])
-        assert "accept" in got.fields["vary"].lower()
+        response = client.get(client.path, Accept=accept)
+        assert response.headers["content-type"].split(";")[0] == media, (
+            accept,
+            response.headers["content-type"],
+        )
+        assert "accept" in response.headers["vary"].lower()
 
 
-@point("a form that is not spoken is a 406", "PEP 691; RFC 9110 15.5.7")
-def _(a: Asker) -> None:
-    assert a.get(a.path, Accept="image/png").status == 406
+@requirement("an unsupported format gives a 406", "PEP 691; RFC 9110 15.5.7")
+def _(client: Client) -> None:
+    assert client.get(client.path, Accept="image/png").status == 406
 
 
-@point("the API version is told in both forms", "PEP 629, 691")
-def _(a: Asker) -> None:
-    version = a.index()["meta"]["api-version"]
+@requirement("the API version is given in both formats", "PEP 629, 691")
+def _(client: Client) -> None:
+    version = client.index()["meta"]["api-version"]
     assert re.fullmatch(r"1\.\d+", version), version
-    told = dict(a.page().metas).get("pypi:repository-version", "")
-    assert re.fullmatch(r"1\.\d+", told), told
+    declared = dict(client.page().metas).get("pypi:repository-version", "")
+    assert re.fullmatch(r"1\.\d+", declared), declared
 
 
-@point("both forms name the same files with the same digests", "PEP 503, 691")
-def _(a: Asker) -> None:
-    named = {f["url"].split("#")[0]: f["hashes"]["sha256"] for f in a.index()["files"]}
-    anchors = {x["href"].split("#")[0]: x["href"].split("#sha256=")[1] for x in a.page().links}
+@requirement("both formats list the same files with the same digests", "PEP 503, 691")
+def _(client: Client) -> None:
+    named = {f["url"].split("#")[0]: f["hashes"]["sha256"] for f in client.index()["files"]}
+    anchors = {x["href"].split("#")[0]: x["href"].split("#sha256=")[1] for x in client.page().links}
     assert anchors == named and all(re.fullmatch("[0-9a-f]{64}", d) for d in named.values())
 
 
-# What an index tells ----------------------------------------------------------------------------------------
+# Contents of an index ---------------------------------------------------------------------------------------
 
 
-@point("from 1.1 on versions, sizes and upload times are there", "PEP 700")
-def _(a: Asker) -> None:
-    index = a.index()
+@requirement("from 1.1 on, versions, sizes and upload times are present", "PEP 700")
+def _(client: Client) -> None:
+    index = client.index()
     if index["meta"]["api-version"] == "1.0":
-        raise Skip("an index of version 1.0")
+        raise Skipped("the index has version 1.0")
     assert index["versions"] and len(set(index["versions"])) == len(index["versions"])
     for file in index["files"]:
         assert type(file["size"]) is int
@@ -183,227 +189,247 @@
         assert uploaded is None or re.fullmatch(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d{1,6})?Z", uploaded)
 
 
-@point("a size told is the size served", "PEP 700")
-def _(a: Asker) -> None:
-    file = a.file(lambda f: "size" in f)
-    assert len(a.get(file["url"]).body) == file["size"]
+@requirement("the size in the index is the size served", "PEP 700")
+def _(client: Client) -> None:
+    file = client.file(lambda f: "size" in f)
+    assert len(client.get(file["url"]).body) == file["size"]
 
 
-@point("yanked files are marked alike in both forms", "PEP 592")
-def _(a: Asker) -> None:
-    file = a.file(lambda f: f.get("yanked"))
-    anchor = next(x for x in a.page().links if x["href"].startswith(file["url"]))
+@requirement("yanked files are marked equally in both formats", "PEP 592")
+def _(client: Client) -> None:
+    file = client.file(lambda f: f.get("yanked"))
+    anchor = next(x for x in client.page().links if x["href"].startswith(file["url"]))
     assert "data-yanked" in anchor
     assert not isinstance(file["yanked"], str) or anchor["data-yanked"] == file["yanked"]
 
 
-@point("Requires-Python is told alike in both forms, and escaped", "PEP 503")
-def _(a: Asker) -> None:
-    file = a.file(lambda f: f.get("requires-python"))
-    anchor = next(x for x in a.page().links if x["href"].startswith(file["url"]))
+@requirement("Requires-Python is the same in both formats, and escaped", "PEP 503")
+def _(client: Client) -> None:
+    file = client.file(lambda f: f.get("requires-python"))
+    anchor = next(x for x in client.page().links if x["href"].startswith(file["url"]))
     assert anchor["data-requires-python"] == file["requires-python"]
 
 
-@point("a metadata file is told under both names and hashes to what is told", "PEP 658, 714")
-def _(a: Asker) -> None:
-    file = a.file(lambda f: f.get("core-metadata"))
+@requirement("a metadata file is listed under both names and has the listed digest", "PEP 658, 714")
+def _(client: Client) -> None:
+    file = client.file(lambda f: f.get("core-metadata"))
     assert file["dist-info-metadata"] == file["core-metadata"]
-    anchor = next(x for x in a.page().links if x["href"].startswith(file["url"]))
+    anchor = next(x for x in client.page().links if x["href"].startswith(file["url"]))
     assert anchor["data-core-metadata"] == anchor["data-dist-info-metadata"]
-    got = a.get(file["url"] + ".metadata")
-    assert got.status == 200, got.status
-    assert hashlib.sha256(got.body).hexdigest() == file["core-metadata"]["sha256"]
+    response = client.get(file["url"] + ".metadata")
+    assert response.status == 200, response.status
+    assert hashlib.sha256(response.body).hexdigest() == file["core-metadata"]["sha256"]
 
 
-@point("a file without metadata has none to fetch", "PEP 658")
-def _(a: Asker) -> None:
-    file = a.file(lambda f: not f.get("core-metadata"))
-    assert a.get(file["url"] + ".metadata").status == 404
+@requirement("the metadata of a file without metadata gives a 404", "PEP 658")
+def _(client: Client) -> None:
+    file = client.file(lambda f: not f.get("core-metadata"))
+    assert client.get(file["url"] + ".metadata").status == 404
 
 
-@point("signatures are told alike in both forms", "PEP 503, 691")
-def _(a: Asker) -> None:
-    file = a.file(lambda f: "gpg-sig" in f)
-    anchor = next(x for x in a.page().links if x["href"].startswith(file["url"]))
+@requirement("signatures are the same in both formats", "PEP 503, 691")
+def _(client: Client) -> None:
+    file = client.file(lambda f: "gpg-sig" in f)
+    anchor = next(x for x in client.page().links if x["href"].startswith(file["url"]))
     assert anchor["data-gpg-sig"] == str(file["gpg-sig"]).lower()
 
 
-@point("provenance is a whole URL, alike in both forms", "PEP 740")
-def _(a: Asker) -> None:
-    file = a.file(lambda f: f.get("provenance"))
-    anchor = next(x for x in a.page().links if x["href"].startswith(file["url"]))
+@requirement("provenance is an absolute URL, the same in both formats", "PEP 740")
+def _(client: Client) -> None:
+    file = client.file(lambda f: f.get("provenance"))
+    anchor = next(x for x in client.page().links if x["href"].startswith(file["url"]))
     assert anchor["data-provenance"] == file["provenance"] and "://" in file["provenance"]
 
 
-@point("tracks and alternate locations are told alike in both forms", "PEP 708")
-def _(a: Asker) -> None:
-    index = a.index()
-    tracks, others = index["meta"].get("tracks", []), index.get("alternate-locations", [])
-    if not tracks and not others:
-        raise Skip("neither is told")
-    metas = a.page().metas
+@requirement("tracks and alternate locations are the same in both formats", "PEP 708")
+def _(client: Client) -> None:
+    index = client.index()
+    tracks, locations = index["meta"].get("tracks", []), index.get("alternate-locations", [])
+    if not tracks and not locations:
+        raise Skipped("the index has neither")
+    metas = client.page().metas
     assert [v for n, v in metas if n == "pypi:tracks"] == tracks
-    assert [v for n, v in metas if n == "pypi:alternate-locations"] == others
+    assert [v for n, v in metas if n == "pypi:alternate-locations"] == locations
 
 
-@point("the project's status is told alike in both forms", "PEP 792")
-def _(a: Asker) -> None:
-    status = a.index().get("project-status")
+@requirement("the project's status is the same in both formats", "PEP 792")
+def _(client: Client) -> None:
+    status = client.index().get("project-status")
     if status is None:
-        raise Skip("no status is told")
-    metas = dict(a.page().metas)
+        raise Skipped("the index has no status")
+    metas = dict(client.page().metas)
     assert metas["pypi:project-status"] == status["status"]
     assert metas.get("pypi:project-status-reason") == status.get("reason")
-    assert status["status"] != "quarantined" or not a.index()["files"]
+    assert status["status"] != "quarantined" or not client.index()["files"]
 
 
-# Conditions, codings, ranges --------------------------------------------------------------------------------
+# Conditions, encodings, ranges ------------------------------------------------------------------------------
 
 
-@point("HEAD has the fields of GET and no body", "RFC 9110 9.3.2")
-def _(a: Asker) -> None:
-    for path, more in ((a.path, {"Accept": JSON}), (a.path, {}), (a.file()["url"], {})):
-        got, head = a.get(path, **more), a.get(path, "HEAD", **more)
-        assert head.status == got.status and not head.body
+@requirement("HEAD returns the header fields of GET and no body", "RFC 9110 9.3.2")
+def _(client: Client) -> None:
+    for path, request_headers in (
+        (client.path, {"Accept": JSON}),
+        (client.path, {}),
+        (client.file()["url"], {}),
+    ):
+        response, head = client.get(path, **request_headers), client.get(path, "HEAD", **request_headers)
+        assert head.status == response.status and not head.body
         for name in ("content-length", "content-type", "etag", "vary"):
-            assert head.fields.get(name) == got.fields.get(name), name
+            assert head.headers.get(name) == response.headers.get(name), name
 
 
-@point("each form has its own tag, and a held one is a 304", "RFC 9110 8.8.3, 13.1.2")
-def _(a: Asker) -> None:
+@requirement("each representation has its own ETag, and a matching one gives a 304", "RFC 9110 8.8.3, 13.1.2")
+def _(client: Client) -> None:
     tags = set()
     for accept in (JSON, "text/html"):
         for coding in ("identity", "gzip"):
-            got = a.get(a.path, Accept=accept, Accept_Encoding=coding)
-            tags.add((got.fields["etag"], got.fields.get("content-encoding")))
-            same = a.get(
-                a.path, Accept=accept, Accept_Encoding=coding, If_None_Match=f'"x", W/{got.fields["etag"]}'
+            response = client.get(client.path, Accept=accept, Accept_Encoding=coding)
+            tags.add((response.headers["etag"], response.headers.get("content-encoding")))
+            revalidated = client.get(
+                client.path,
+                Accept=accept,
+                Accept_Encoding=coding,
+                If_None_Match=f'"x", W/{response.headers["etag"]}',
+            )
+            assert (
+                revalidated.status == 304
+                and not revalidated.body
+                and revalidated.headers["etag"] == response.headers["etag"]
             )
-            assert same.status == 304 and not same.body and same.fields["etag"] == got.fields["etag"]
     assert len({tag for tag, _ in tags}) == len(tags)
 
 
-@point("an index in gzip is the index", "RFC 9110 8.4, 12.5.3")
-def _(a: Asker) -> None:
-    plain = a.get(a.path, Accept=JSON, Accept_Encoding="identity")
-    assert "content-encoding" not in plain.fields
-    zipped = a.get(a.path, Accept=JSON, Accept_Encoding="br, gzip;q=0.8")
-    assert zipped.fields.get("content-encoding") == "gzip" and gzip.decompress(zipped.body) == plain.body
-    assert "accept-encoding" in zipped.fields["vary"].lower()
-    assert "content-encoding" not in a.get(a.path, Accept_Encoding="gzip;q=0, identity").fields
-    assert a.get(a.path, Accept_Encoding="gzip;q=0, identity;q=0").status == 406
+@requirement("an index in gzip decodes to the index", "RFC 9110 8.4, 12.5.3")
+def _(client: Client) -> None:
+    plain = client.get(client.path, Accept=JSON, Accept_Encoding="identity")
+    assert "content-encoding" not in plain.headers
+    gzipped = client.get(client.path, Accept=JSON, Accept_Encoding="br, gzip;q=0.8")
+    assert gzipped.headers.get("content-encoding") == "gzip" and gzip.decompress(gzipped.body) == plain.body
+    assert "accept-encoding" in gzipped.headers["vary"].lower()
+    assert "content-encoding" not in client.get(client.path, Accept_Encoding="gzip;q=0, identity").headers
+    assert client.get(client.path, Accept_Encoding="gzip;q=0, identity;q=0").status == 406
 
 
-@point("a file's bytes hash to the digest in its URL", "PEP 503; the operators' rule")
-def _(a: Asker) -> None:
-    for file in a.index()["files"][:5]:
-        got = a.get(file["url"])
-        assert got.status == 200 and hashlib.sha256(got.body).hexdigest() == file["hashes"]["sha256"]
+@requirement("a file's bytes hash to the digest in its URL", "PEP 503; the operators' rule")
+def _(client: Client) -> None:
+    for file in client.index()["files"][:5]:
+        response = client.get(file["url"])
+        assert (
+            response.status == 200 and hashlib.sha256(response.body).hexdigest() == file["hashes"]["sha256"]
+        )
         assert file["hashes"]["sha256"] in file["url"]
 
 
-@point("another digest, or a file that is not named, is sent back to the index", "the operators' rule")
-def _(a: Asker) -> None:
-    file = a.file()
+@requirement("another digest, or a file that is not listed, links back to the index", "the operators' rule")
+def _(client: Client) -> None:
+    file = client.file()
     for path in (file["url"].replace(file["hashes"]["sha256"], "0" * 64), f"{file['url']}x"):
-        got = a.get(path)
-        assert got.status in (404, 410) and a.path in got.fields["link"], got
+        response = client.get(path)
+        assert response.status in (404, 410) and client.path in response.headers["link"], response
 
 
-@point("a file is never coded, whatever the client takes", "RFC 9110 8.4")
-def _(a: Asker) -> None:
-    assert "content-encoding" not in a.get(a.file()["url"], Accept_Encoding="gzip").fields
+@requirement("a file is never encoded, whatever the client accepts", "RFC 9110 8.4")
+def _(client: Client) -> None:
+    assert "content-encoding" not in client.get(client.file()["url"], Accept_Encoding="gzip").headers
 
 
-@point("files say that ranges are served", "RFC 9110 14.3")
-def _(a: Asker) -> None:
-    assert a.get(a.file()["url"]).fields.get("accept-ranges") == "bytes"
+@requirement("files declare that ranges are served", "RFC 9110 14.3")
+def _(client: Client) -> None:
+    assert client.get(client.file()["url"]).headers.get("accept-ranges") == "bytes"
 
 
-@point("first, middle, open and suffix ranges are the bytes meant", "RFC 9110 14.1.2, 15.3.7")
-def _(a: Asker) -> None:
-    url = a.file(lambda f: f.get("size", 10) >= 10)["url"]
-    whole = a.get(url).body
-    size = len(whole)
-    for asked, first, end in (("0-0", 0, 1), ("2-5", 2, 6), (f"{size - 3}-", size - 3, size),
+@requirement("first, middle, open and suffix ranges give the requested bytes", "RFC 9110 14.1.2, 15.3.7")
+def _(client: Client) -> None:
+    url = client.file(lambda f: f.get("size", 10) >= 10)["url"]
+    content = client.get(url).body
+    size = len(content)
+    for requested, first, end in (("0-0", 0, 1), ("2-5", 2, 6), (f"{size - 3}-", size - 3, size),
                               ("-4", size - 4, size), (f"0-{size * 2}", 0, size)):  # fmt: skip
-        got = a.get(url, Range=f"bytes={asked}")
-        assert got.status == 206 and got.body == whole[first:end], (asked, got.status)
-        assert got.fields["content-range"] == f"bytes {first}-{end - 1}/{size}"
-        assert got.fields["content-length"] == str(end - first)
-
-
-@point("a range past the end is a 416 that tells the size", "RFC 9110 15.5.17")
-def _(a: Asker) -> None:
-    url = a.file()["url"]
-    size = len(a.get(url).body)
-    for asked in (f"{size}-", f"{size + 5}-{size + 9}", "-0"):
-        got = a.get(url, Range=f"bytes={asked}")
-        assert got.status == 416 and got.fields["content-range"] == f"bytes */{size}", (asked, got.status)
+        response = client.get(url, Range=f"bytes={requested}")
+        assert response.status == 206 and response.body == content[first:end], (requested, response.status)
+        assert response.headers["content-range"] == f"bytes {first}-{end - 1}/{size}"
+        assert response.headers["content-length"] == str(end - first)
+
+
+@requirement("a range past the end gives a 416 with the size", "RFC 9110 15.5.17")
+def _(client: Client) -> None:
+    url = client.file()["url"]
+    size = len(client.get(url).body)
+    for requested in (f"{size}-", f"{size + 5}-{size + 9}", "-0"):
+        response = client.get(url, Range=f"bytes={requested}")
+        assert response.status == 416 and response.headers["content-range"] == f"bytes */{size}", (
+            requested,
+            response.status,
+        )
 
 
-@point("a range field that means nothing is answered whole", "RFC 9110 14.2")
-def _(a: Asker) -> None:
-    url = a.file()["url"]
-    for asked in ("bytes=5-2", "lines=1-2", "bytes=a-b", "bytes=", "bytes=0-0,5-6"):
-        assert a.get(url, Range=asked).status == 200, asked
+@requirement("an invalid range is ignored and gives the complete file", "RFC 9110 14.2")
+def _(client: Client) -> None:
+    url = client.file()["url"]
+    for requested in ("bytes=5-2", "lines=1-2", "bytes=a-b", "bytes=", "bytes=0-0,5-6"):
+        assert client.get(url, Range=requested).status == 200, requested
 
 
-@point("If-Range gives the range for the same tag alone", "RFC 9110 13.1.5")
-def _(a: Asker) -> None:
-    url = a.file()["url"]
-    tag = a.get(url).fields["etag"]
+@requirement("If-Range gives the range only for the same strong ETag", "RFC 9110 13.1.5")
+def _(client: Client) -> None:
+    url = client.file()["url"]
+    tag = client.get(url).headers["etag"]
     for condition, status in ((tag, 206), ('"other"', 200), (f"W/{tag}", 200),
                               ("Thu, 01 Jan 2026 00:00:00 GMT", 200)):  # fmt: skip
-        assert a.get(url, Range="bytes=0-0", If_Range=condition).status == status, condition
+        assert client.get(url, Range="bytes=0-0", If_Range=condition).status == status, condition
 
 
-@point("a condition comes before a range, and HEAD knows no range", "RFC 9110 13.2.2, 14.2")
-def _(a: Asker) -> None:
-    url = a.file()["url"]
-    tag = a.get(url).fields["etag"]
-    assert a.get(url, Range="bytes=0-0", If_None_Match=tag).status == 304
-    assert a.get(url, "HEAD", Range="bytes=0-0").status == 200
+@requirement("a condition takes precedence over a range, and HEAD ignores ranges", "RFC 9110 13.2.2, 14.2")
+def _(client: Client) -> None:
+    url = client.file()["url"]
+    tag = client.get(url).headers["etag"]
+    assert client.get(url, Range="bytes=0-0", If_None_Match=tag).status == 304
+    assert client.get(url, "HEAD", Range="bytes=0-0").status == 200
 
 
-@point("caches must ask each time, and are told the age", "RFC 9111 5.2.2.4, 5.1")
-def _(a: Asker) -> None:
-    for path in (a.path, a.file()["url"]):
-        got = a.get(path)
-        assert "no-cache" in got.fields["cache-control"] and got.fields["age"].isdigit()
+@requirement("caches must revalidate each time, and responses have an age", "RFC 9111 5.2.2.4, 5.1")
+def _(client: Client) -> None:
+    for path in (client.path, client.file()["url"]):
+        response = client.get(path)
+        assert "no-cache" in response.headers["cache-control"] and response.headers["age"].isdigit()
 
 
-@point("other methods are a 405 that names those served", "RFC 9110 15.5.6")
-def _(a: Asker) -> None:
+@requirement("other methods give a 405 that lists the allowed ones", "RFC 9110 15.5.6")
+def _(client: Client) -> None:
     for method in ("DELETE", "PUT"):
-        got = a.get(a.path, method)
-        assert got.status == 405 and "GET" in got.fields["allow"] and "HEAD" in got.fields["allow"]
+        response = client.get(client.path, method)
+        assert (
+            response.status == 405
+            and "GET" in response.headers["allow"]
+            and "HEAD" in response.headers["allow"]
+        )
 
 
 @dataclass(frozen=True)
-class Line:
-    point: Point
+class Result:
+    requirement: Requirement
     verdict: str  # ok, skipped, failed
-    why: str = ""
+    reason: str = ""
 
 
-def run(asker: Asker) -> list[Line]:
-    """All points, in order. What a point trips over is its failure, not the run's."""
-    lines = []
-    for one in POINTS:
+def run(client: Client) -> list[Result]:
+    """Check all requirements, in order. Any exception in a check fails that requirement, not the run."""
+    results = []
+    for requirement in REQUIREMENTS:
         try:
-            one.check(asker)
-            lines.append(Line(one, "ok"))
-        except Skip as skip:
-            lines.append(Line(one, "skipped", str(skip)))
+            requirement.check(client)
+            results.append(Result(requirement, "ok"))
+        except Skipped as skip:
+            results.append(Result(requirement, "skipped", str(skip)))
         except Exception as error:
-            lines.append(Line(one, "failed", f"{type(error).__name__} {error}"[:300]))
-    return lines
+            results.append(Result(requirement, "failed", f"{type(error).__name__} {error}"[:300]))
+    return results
 
 
 def main(argv: Sequence[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="hallproxy.lab.conformance", description="Points a repository must hold."
+        prog="hallproxy.lab.conformance", description="Checks a repository for conformance."
     )
     parser.add_argument("--at", default="127.0.0.1:8081")
     parser.add_argument("--project", required=True)
@@ -411,14 +437,15 @@
     args = parser.parse_args(argv)
     host, _, port = args.at.rpartition(":")
     if not host.startswith("127."):
-        parser.error("only loopback addresses are asked")
-    lines = run(Asker(host, int(port), args.project, args.secret))
-    for line in lines:
+        parser.error("--at must be a loopback address (127.*)")
+    results = run(Client(host, int(port), args.project, args.secret))
+    for result in results:
         print(
-            f"{line.verdict:8} {line.point.name} ({line.point.section}){': ' + line.why if line.why else ''}"
+            f"{result.verdict:8} {result.requirement.name} ({result.requirement.section})"
+            f"{': ' + result.reason if result.reason else ''}"
         )
-    failed = sum(line.verdict == "failed" for line in lines)
-    print(f"{sum(line.verdict == 'ok' for line in lines)} held, {failed} failed, of {len(lines)}")
+    failed = sum(result.verdict == "failed" for result in results)
+    print(f"{sum(result.verdict == 'ok' for result in results)} passed, {failed} failed, of {len(results)}")
     return 1 if failed else 0
 
 
--- a/tests/repository/test_conformance.py
+++ b/tests/repository/test_conformance.py
@@ -76,9 +76,9 @@
 def test_every_point_holds(front: Front, form: str) -> None:
     front.upstreams[0].hook = lambda seen: upstream(seen, TOP, form)
     front.start()
-    lines = conformance.run(conformance.Asker("127.0.0.1", front.program.port, PROJECT))
+    lines = conformance.run(conformance.Client("127.0.0.1", front.program.port, PROJECT))
     assert not [line for line in lines if line.verdict == "failed"], lines
-    skipped = {line.point.section for line in lines if line.verdict == "skipped"}
+    skipped = {line.requirement.section for line in lines if line.verdict == "skipped"}
     # An index in HTML tells no versions, sizes and upload times: nothing of that is made up.
     assert skipped == (set() if form == "json" else {"PEP 700"})
     assert len(lines) >= 30
@@ -90,7 +90,7 @@
     at = f"127.0.0.1:{front.program.port}"
     assert conformance.main(["--at", at, "--project", "not-there"]) == 1
     said = capsys.readouterr().out
-    assert "failed  " in said and said.count("\n") == len(conformance.POINTS) + 1
+    assert "failed  " in said and said.count("\n") == len(conformance.REQUIREMENTS) + 1
 
 
 def test_metadata_that_does_not_match_is_never_served(front: Front) -> None:
