--- a/tests/broker/test_broker.py
+++ b/tests/broker/test_broker.py
@@ -14,7 +14,7 @@
 from hallproxy.broker.broker import Broker
 from hallproxy.broker.contracts import Contract, Contracts, Team
 from hallproxy.broker.token_bucket import Rate
-from hallproxy.lab.virtual import Load, Source, World, contracts_of
+from hallproxy.lab.virtual import Load, Simulation, Source, contracts_of
 
 MS, SECOND = 10**6, 10**9
 START = 1_700_000_000 * SECOND
@@ -23,10 +23,10 @@
 FLOOD = [Load("quiet", 60), Load("flood", 600)]
 
 
-def world(loads: list[Load], seconds: float = 20.0, slowdown: float = 1.0, **contract: float) -> World:
+def world(loads: list[Load], seconds: float = 20.0, slowdown: float = 1.0, **contract: float) -> Simulation:
     """Teams before a source of 400 requests a second, slower in the second half of the time."""
     source = Source(8, 20 * MS, lambda at: slowdown if at > seconds / 2 else 1.0, spread=0.3)
-    return World(loads, source, Broker(contracts_of(loads, **contract), START))
+    return Simulation(loads, source, Broker(contracts_of(loads, **contract), START))
 
 
 @pytest.mark.parametrize("slowdown", [1.0, 5.0])
@@ -34,40 +34,40 @@
     """Also while the source is five times slower."""
     calm = world(CALM, slowdown=slowdown).run(20)
     flood = world(FLOOD, slowdown=slowdown).run(20)
-    assert flood["quiet"].part() >= 0.97 * calm["quiet"].part()
-    assert flood["quiet"].at(0.99) <= 3 * calm["quiet"].at(0.99)
+    assert flood["quiet"].in_time_share() >= 0.97 * calm["quiet"].in_time_share()
+    assert flood["quiet"].latency_ms(0.99) <= 3 * calm["quiet"].latency_ms(0.99)
     served_in_time = sum(tally.in_time for tally in flood.values())
     assert served_in_time >= 0.93 * 400 * (10 + 10 / slowdown)
 
 
 def test_without_a_broker_a_flood_starves_the_quiet_team() -> None:
     """The same load before the source alone shows what the broker prevents."""
-    flood = World(FLOOD, Source(8, 20 * MS, spread=0.3), None).run(20)
-    assert flood["quiet"].part() < 0.2
+    flood = Simulation(FLOOD, Source(8, 20 * MS, spread=0.3), None).run(20)
+    assert flood["quiet"].in_time_share() < 0.2
 
 
 def test_floods_of_large_bodies_and_of_retries_cost_their_own_team() -> None:
     large = world([Load("quiet", 60), Load("flood", 600, size=20)]).run(20)
-    assert large["quiet"].part() >= 0.95
-    loads = [Load("quiet", 60), Load("flood", 600, repeats=1.0)]
+    assert large["quiet"].in_time_share() >= 0.95
+    loads = [Load("quiet", 60), Load("flood", 600, retry_share=1.0)]
     retries = world(loads, retry_ratio=0.2, min_retries_per_second=1.0).run(20)
-    assert retries["quiet"].part() >= 0.99 and retries["flood"].served <= 20 * 1.5
-    assert retries["flood"].refused["retry budget"] > 10_000
+    assert retries["quiet"].in_time_share() >= 0.99 and retries["flood"].served <= 20 * 1.5
+    assert retries["flood"].rejected["retry budget"] > 10_000
 
 
 def test_a_team_over_its_budget_is_rejected_while_the_source_slows() -> None:
     """What its contract excludes is rejected at once; the slowdown costs both teams by their weights."""
     contracts = Contracts((Contract("flood", "all", rate=Rate(100, 100)), Contract("quiet", "all")))
     source = Source(8, 20 * MS, lambda at: 5.0 if at > 10 else 1.0, spread=0.3)
-    flood = World(FLOOD, source, Broker(contracts, START)).run(20)
+    flood = Simulation(FLOOD, source, Broker(contracts, START)).run(20)
     calm = world(CALM, slowdown=5.0).run(20)
-    assert flood["quiet"].part() >= 0.97 * calm["quiet"].part()
-    assert flood["flood"].refused["over budget"] >= 9000 and flood["flood"].served <= 100 * 21
+    assert flood["quiet"].in_time_share() >= 0.97 * calm["quiet"].in_time_share()
+    assert flood["flood"].rejected["over budget"] >= 9000 and flood["flood"].served <= 100 * 21
 
 
 def test_concurrency_limits_recover_with_the_source() -> None:
     source = Source(8, 20 * MS, lambda at: 5.0 if 5 < at < 10 else 1.0)
-    flood = World(FLOOD, source, Broker(contracts_of(FLOOD), START)).run(20)
+    flood = Simulation(FLOOD, source, Broker(contracts_of(FLOOD), START)).run(20)
     served_after_recovery = sum(1 for tally in flood.values() for at in tally.times if 13 < at < 20)
     assert served_after_recovery >= 0.9 * 7 * 400
 
--- a/tests/lab/test_virtual.py
+++ b/tests/lab/test_virtual.py
@@ -1,4 +1,4 @@
-"""The reference division that the virtual-time experiments compare with."""
+"""The reference allocation that the virtual-time experiments compare with."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hallproxy.lab.virtual import max_min
 
 
-def test_max_min_leaves_what_a_team_does_not_need_to_the_others() -> None:
+def test_max_min_gives_the_unused_share_of_a_team_to_the_others() -> None:
     assert max_min([("a", 1, 10), ("b", 1, 100), ("c", 2, 100)], 100) == pytest.approx(
         {"a": 10, "b": 30, "c": 60}
     )
