--- a/hallproxy/lab/__init__.py
+++ b/hallproxy/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: load on loopback, and the broker's decisions at sizes that sockets don't reach."""
+"""Experiments: load on loopback, and the broker's decisions at scales that sockets can't reach."""
--- a/hallproxy/lab/capacity/second.py
+++ b/hallproxy/lab/capacity/second.py
@@ -15,7 +15,7 @@
 
 from hallproxy.lab.capacity.process import memory_kb, processor_s
 from hallproxy.lab.capacity.registry import Measured, MeasurementError, Quantity, Run, measurement
-from hallproxy.lab.standin import JSON, Stand, front_process, upstream
+from hallproxy.lab.standin import JSON, UpstreamHandler, front_process, start_upstream
 
 INDEX_FILES = 10
 PACE = 250.0  # requests a second
@@ -84,7 +84,7 @@
 def indexes(size: float, run: Run) -> Measured:
     held = {f"many-1.{n}-py3-none-any.whl": b"%d" % n for n in range(int(size))}
     many = 20 if run.tiny else 600
-    text = upstream({"many": index_of("many", held)})
+    text = start_upstream({"many": index_of("many", held)})
     with front_process(Path(run.where), text) as (port, pid):
         client = Kept(port)
         first = client.ask("/simple/many/")
@@ -111,8 +111,8 @@
     name = "many-1.0-py3-none-any.whl"
     body = run.random.randbytes(int(size * 1_000))
     many = 20 if run.tiny else 600 if size <= 100 else 100
-    text = upstream({name: body, "many": index_of("many", {name: body})})
-    before = Stand.asked
+    text = start_upstream({name: body, "many": index_of("many", {name: body})})
+    before = UpstreamHandler.file_requests
     with front_process(Path(run.where), text) as (port, pid):
         client = Kept(port, PACE if size <= 100 else 25.0)
         url = json.loads(client.ask("/simple/many/"))["files"][0]["url"]
@@ -122,8 +122,8 @@
         wrong = sum(client.ask(url) != body for _ in range(many))
         spent = processor_s(pid) - began
         client.close()
-    if wrong or Stand.asked - before != 1:
-        asked = Stand.asked - before
+    if wrong or UpstreamHandler.file_requests - before != 1:
+        asked = UpstreamHandler.file_requests - before
         raise MeasurementError(f"{wrong} of {many} answers are wrong, upstream heard {asked} requests")
     return {"core_us": spent / many * 1e6, "turned_away": float(client.away)}
 
@@ -144,7 +144,7 @@
     for n in range(many):
         held = {f"p{n}-1.{k}-py3-none-any.whl": b"%d.%d" % (n, k) for k in range(INDEX_FILES)}
         bodies[f"p{n}"] = index_of(f"p{n}", held)
-    text = upstream(bodies)
+    text = start_upstream(bodies)
     with front_process(Path(run.where), text) as (port, pid):
         client = Kept(port, 500.0)
         began, short = processor_s(pid), 0
--- a/hallproxy/lab/cost.py
+++ b/hallproxy/lab/cost.py
@@ -1,9 +1,9 @@
-"""What a decision of the broker costs, by the number of contracts.
+"""Measures the cost of a broker decision by the number of contracts.
 
     python -m hallproxy.lab.cost
 
-One decision is a request's whole way: admitted, given a place, answered. Contracts are asked in turn, so that
-each is in use. Bytes are those of a contract and of all that is held for it.
+One decision covers a request's admission, its slot and its response. Contracts are used in turn, so that each
+is active. The bytes are those of a contract and all of its state.
 """
 
 from __future__ import annotations
@@ -26,23 +26,23 @@
 
 
 def contracts_of(count: int) -> Contracts:
-    """A tenth as many organisations, each with ten teams of one contract."""
-    whole = tuple(Organisation(f"o-{n}", rate=Rate(1e6, 1e6)) for n in range(max(1, count // 10)))
+    """Contracts with one team each; every organisation has ten teams."""
+    organisations = tuple(Organisation(f"o-{n}", rate=Rate(1e6, 1e6)) for n in range(max(1, count // 10)))
     teams = tuple(Team(f"t-{n}", 1.0 + n % 5, f"o-{n // 10}") for n in range(count))
-    held = tuple(
+    contracts = tuple(
         Contract(t.name, "s", rate=Rate(1e4, 1e4), retry_ratio=0.2, min_retries_per_second=1.0) for t in teams
     )
-    return Contracts(held, teams, whole)
+    return Contracts(contracts, teams, organisations)
 
 
-def one(broker: Broker, ident: int, team: str, now: int) -> None:
-    ask = AdmissionRequest(team, "s", "c", 2 * SECOND, 500 * MS, size_kb=40.0)
-    contract = broker.admit(ask, now)
+def run_decision(broker: Broker, request_id: int, team: str, now: int) -> None:
+    request = AdmissionRequest(team, "s", "c", 2 * SECOND, 500 * MS, size_kb=40.0)
+    contract = broker.admit(request, now)
     assert isinstance(contract, Contract)
-    broker.acquire(ident, ask, contract, now)
+    broker.acquire(request_id, request, contract, now)
     broker.attempt_started(b"source", now)
-    broker.attempt_ended(b"source", ident, 20 * MS, AttemptOutcome.SUCCEEDED, now)
-    broker.release(ident, RequestOutcome.SERVED, now, size=40_000)
+    broker.attempt_ended(b"source", request_id, 20 * MS, AttemptOutcome.SUCCEEDED, now)
+    broker.release(request_id, RequestOutcome.SERVED, now, size=40_000)
     broker.dequeue(now)
 
 
@@ -53,17 +53,17 @@
     now = START
     for n in range(count):
         now += MS // 10
-        one(broker, n, f"t-{n}", now)
+        run_decision(broker, n, f"t-{n}", now)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    best = float("inf")
+    best_s = float("inf")
     for _ in range(3):
-        began = time.perf_counter()
+        began_at = time.perf_counter()
         for n in range(DECISIONS):
             now += MS // 10
-            one(broker, n, f"t-{n % count}", now)
-        best = min(best, time.perf_counter() - began)
-    return {"contracts": count, "us": round(best / DECISIONS * 1e6, 1), "bytes": round(size / count)}
+            run_decision(broker, n, f"t-{n % count}", now)
+        best_s = min(best_s, time.perf_counter() - began_at)
+    return {"contracts": count, "us": round(best_s / DECISIONS * 1e6, 1), "bytes": round(size / count)}
 
 
 def main() -> int:
--- a/hallproxy/lab/routes.py
+++ b/hallproxy/lab/routes.py
@@ -1,9 +1,10 @@
-"""What finding a project's route costs, by the number of rules.
+"""Measures the cost of finding a project's route by the number of rules.
 
     python -m hallproxy.lab.routes
 
-Rules are half pins and half patterns; projects are asked in turn from a set of 20,000 names, a tenth of them
-named by no rule (those walk every pattern). Prints microseconds a lookup, median of five rounds, as JSON.
+Half of the rules are pins, half are patterns. Projects are looked up in turn from a set of 20,000 names, a
+tenth of which match no rule and so are compared with every pattern. Prints microseconds per lookup, the
+median of five rounds, as JSON.
 """
 
 from __future__ import annotations
@@ -28,8 +29,8 @@
     return Routes(tuple(rules), UPSTREAMS), names
 
 
-def per_lookup(routes: Routes, names: list[str]) -> float:
-    """Microseconds for one lookup, median of five rounds."""
+def us_per_lookup(routes: Routes, names: list[str]) -> float:
+    """Microseconds per lookup, median of five rounds."""
     rounds = []
     for _ in range(5):
         began = time.perf_counter()
@@ -43,7 +44,7 @@
     counts = [int(a) for a in argv] or [10, 100, 1_000, 10_000]
     for count in counts:
         routes, names = routes_of(count)
-        print(json.dumps({"rules": count, "us_per_lookup": round(per_lookup(routes, names), 2)}))
+        print(json.dumps({"rules": count, "us_per_lookup": round(us_per_lookup(routes, names), 2)}))
     return 0
 
 
--- a/hallproxy/lab/source.py
+++ b/hallproxy/lab/source.py
@@ -1,9 +1,9 @@
-"""A stand-in upstream repository: servers that are each busy for so long, and one queue before them.
+"""A stand-in upstream repository: servers with a random service time, behind one queue.
 
     python -m hallproxy.lab.source --servers 8 --took-ms 20
 
-It prints its address and serves every project's index until its standard input closes. A line there sets
-the factor on the time that a request takes: a source that slows down.
+It prints its address and serves every project's index until its standard input closes. Each input line sets a
+factor on the service time, to simulate a source that slows down.
 """
 
 from __future__ import annotations
@@ -23,74 +23,74 @@
         "files": [{"filename": "any-1.whl", "url": "/pool/any-1.whl", "hashes": {"sha256": "a" * 64}}],
     }
 ).encode()
-ANSWER = (
+RESPONSE = (
     b"HTTP/1.1 200 OK\r\nContent-Type: application/vnd.pypi.simple.v1+json\r\n"
     b"Content-Length: %d\r\n\r\n%s" % (len(INDEX), INDEX)
 )
 
 
 class Source:
-    def __init__(self, servers: int, took: float, spread: float, seed: int) -> None:
-        self.servers, self.took, self.spread = servers, took, spread
+    def __init__(self, servers: int, service_time: float, spread: float, seed: int) -> None:
+        self.servers, self.service_time, self.spread = servers, service_time, spread
         self.factor = 1.0
         self.served = 0
         self._busy = 0
-        self._queue: deque[Peer] = deque()
-        self._drawn = random.Random(seed)
+        self._queue: deque[Connection] = deque()
+        self._rng = random.Random(seed)
 
-    def ask(self, peer: Peer) -> None:
+    def submit(self, connection: Connection) -> None:
         if self._busy < self.servers:
-            self._serve(peer)
+            self._serve(connection)
         else:
-            self._queue.append(peer)
+            self._queue.append(connection)
 
-    def _serve(self, peer: Peer) -> None:
+    def _serve(self, connection: Connection) -> None:
         self._busy += 1
-        took = self.took * self.factor * (1.0 + self.spread * (2 * self._drawn.random() - 1.0))
-        asyncio.get_running_loop().call_later(took, self._done, peer)
+        service_time = self.service_time * self.factor * (1.0 + self.spread * (2 * self._rng.random() - 1.0))
+        asyncio.get_running_loop().call_later(service_time, self._done, connection)
 
-    def _done(self, peer: Peer) -> None:
+    def _done(self, connection: Connection) -> None:
         self._busy -= 1
         self.served += 1
-        peer.answer()
+        connection.respond()
         while self._queue and self._busy < self.servers:
-            waiting = self._queue.popleft()
-            if not waiting.gone:  # who has hung up is not served
-                self._serve(waiting)
+            next_connection = self._queue.popleft()
+            if not next_connection.closed:  # skip requests of closed connections
+                self._serve(next_connection)
 
 
-class Peer(asyncio.Protocol):
-    """One connection, one request at a time, as gateways send them."""
+class Connection(asyncio.Protocol):
+    """One connection with one request at a time, as gateways send them."""
 
     def __init__(self, source: Source) -> None:
         self._source = source
-        self._came = b""
-        self.gone = False
+        self._received = b""
+        self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self._came += data
-        while b"\r\n\r\n" in self._came:
-            _, _, self._came = self._came.partition(b"\r\n\r\n")
-            self._source.ask(self)
+        self._received += data
+        while b"\r\n\r\n" in self._received:
+            _, _, self._received = self._received.partition(b"\r\n\r\n")
+            self._source.submit(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.gone = True
+        self.closed = True
 
-    def answer(self) -> None:
-        if not self.gone:
-            self._transport.write(ANSWER)
+    def respond(self) -> None:
+        if not self.closed:
+            self._transport.write(RESPONSE)
 
 
 async def serve(source: Source, address: str) -> None:
-    running = asyncio.get_running_loop()
-    server = await running.create_server(lambda: Peer(source), address, 0, backlog=1024)
+    loop = asyncio.get_running_loop()
+    server = await loop.create_server(lambda: Connection(source), address, 0, backlog=1024)
     print("%s:%d" % server.sockets[0].getsockname()[:2], flush=True)
     reader = asyncio.StreamReader()
-    await running.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
         source.factor = float(line)
     print(json.dumps({"served": source.served}), flush=True)
@@ -103,7 +103,7 @@
     parser.add_argument("--address", default="127.0.0.1")
     parser.add_argument("--servers", type=int, default=8)
     parser.add_argument("--took-ms", type=float, default=20.0)
-    parser.add_argument("--spread", type=float, default=0.3, help="part by which times vary")
+    parser.add_argument("--spread", type=float, default=0.3, help="relative variation of service times")
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args(argv)
     asyncio.run(serve(Source(args.servers, args.took_ms / 1000, args.spread, args.seed), args.address))
--- a/tests/run/test_team_fronts.py
+++ b/tests/run/test_team_fronts.py
@@ -229,8 +229,8 @@
 @pytest.mark.timing("compares rates of requests served in time")
 def test_overload_by_one_team_leaves_the_service_of_the_other(tmp_path: Path) -> None:
     """Two stand-in teams on loopback at a small scale; margins are wide, as the machine may be busy."""
-    day = lab.Day("small", quiet=20, flood=200, servers=4, took_ms=40)
-    baseline = lab.play(day, {"quiet": 20.0, "flood": 20.0}, 4, 7)["teams"]["quiet"]
-    overload = lab.play(day, {"quiet": 20.0, "flood": 200.0}, 4, 7)["teams"]
+    scenario = lab.Scenario("small", quiet=20, flood=200, servers=4, service_time_ms=40)
+    baseline = lab.run_scenario(scenario, {"quiet": 20.0, "flood": 20.0}, 4, 7)["teams"]["quiet"]
+    overload = lab.run_scenario(scenario, {"quiet": 20.0, "flood": 200.0}, 4, 7)["teams"]
     assert overload["quiet"].in_time >= 0.85 * baseline.in_time and baseline.in_time > 0.8
-    assert overload["flood"].refused > 0.2 and overload["flood"].in_time_per_s > 20
+    assert overload["flood"].rejected > 0.2 and overload["flood"].in_time_per_s > 20
