--- a/hallproxy/lab/index.py
+++ b/hallproxy/lab/index.py
@@ -65,12 +65,12 @@
     text = re.sub(r"file_most_mb = \d+", "file_most_mb = 128", text)
     text = text.replace("deadline_ns = 5_000_000_000", "deadline_ns = 30_000_000_000")
     with tempfile.TemporaryDirectory() as name, front(Path(name), text) as port:
-        figures = _large(port) if args.large else _rate(port, args.seconds)
+        figures = _measure_large_index(port) if args.large else _measure_rate(port, args.seconds)
     print(json.dumps({"files": args.files, "bytes": len(UpstreamHandler.bodies["many"])} | figures))
     return 0
 
 
-def _rate(port: int, seconds: float) -> dict[str, float]:
+def _measure_rate(port: int, seconds: float) -> dict[str, float]:
     # A plain socket, as the library's client takes longer than the front.
     head = f"GET /simple/many/ HTTP/1.1\r\nHost: x\r\nAccept: {JSON}\r\n\r\n".encode()
     connection = socket.create_connection(("127.0.0.1", port), 30)
@@ -94,7 +94,7 @@
     return {"answers_per_s": round(count / seconds)}
 
 
-def _large(port: int) -> dict[str, float]:
+def _measure_large_index(port: int) -> dict[str, float]:
     small = http.client.HTTPConnection("127.0.0.1", port, timeout=60)
     for _ in range(50):
         fetch_index(small, "small")
--- a/hallproxy/lab/soak/clients.py
+++ b/hallproxy/lab/soak/clients.py
@@ -216,7 +216,7 @@
             self._rules.violate("lost", f"a connection was {how} partway through a frame")
         now = time.time()
         crossing = CROSSING_WINDOW + self._rules.slack
-        all_cross = all(now - one.written_at <= crossing for one in self.pending.values())
+        all_cross = all(now - request.written_at <= crossing for request in self.pending.values())
         refused = self._nothing_received and self.refusal_allowed
         for pending in self.pending.values():
             if all_cross or refused:
--- a/hallproxy/lab/soak/plan.py
+++ b/hallproxy/lab/soak/plan.py
@@ -143,26 +143,26 @@
 def _disturbances(rng: random.Random, stop_at: float) -> list[Disturbance]:
     end = stop_at + 3.0
     kind = DisturbanceKind
-    made = []
+    disturbances = []
     for _ in range(rng.randrange(2, 9)):
         mode = rng.choice(list(StoreMode))
         at, store = rng.uniform(0.0, end), rng.randrange(STORES)
-        made.append(Disturbance(at, kind.STORE_MODE, store, mode))
-        made.append(Disturbance(at + rng.uniform(0.2, 3.0), kind.STORE_MODE, store, StoreMode.NORMAL))
+        disturbances.append(Disturbance(at, kind.STORE_MODE, store, mode))
+        disturbances.append(Disturbance(at + rng.uniform(0.2, 3.0), kind.STORE_MODE, store, StoreMode.NORMAL))
     for _ in range(rng.randrange(0, 3)):
         at, store = rng.uniform(0.0, end), rng.randrange(STORES - 1)  # one store is never removed
-        made.append(Disturbance(at, kind.STORE_DRAIN, store))
-        last = rng.choice((kind.STORE_REMOVAL, kind.STORE_RESTART))
-        made.append(Disturbance(at + rng.uniform(0.05, 1.5), last, store))
+        disturbances.append(Disturbance(at, kind.STORE_DRAIN, store))
+        final_kind = rng.choice((kind.STORE_REMOVAL, kind.STORE_RESTART))
+        disturbances.append(Disturbance(at + rng.uniform(0.05, 1.5), final_kind, store))
     for _ in range(rng.randrange(0, 3)):
-        mode_of_log = rng.choice((LogMode.UNRESPONSIVE, LogMode.DOWN))
+        log_mode = rng.choice((LogMode.UNRESPONSIVE, LogMode.DOWN))
         at = rng.uniform(0.0, end)
-        made.append(Disturbance(at, kind.LOG_MODE, log_mode=mode_of_log))
-        made.append(Disturbance(at + rng.uniform(0.2, 4.0), kind.LOG_MODE))
+        disturbances.append(Disturbance(at, kind.LOG_MODE, log_mode=log_mode))
+        disturbances.append(Disturbance(at + rng.uniform(0.2, 4.0), kind.LOG_MODE))
     for _ in range(rng.choice((0, 10, 60))):
         group = rng.randrange(3)
         object_id = 0 if rng.random() < 0.1 else rng.randrange(1, 12)
-        made.append(Disturbance(rng.uniform(0.0, end), kind.PURGE, object_id=object_id, group=group))
+        disturbances.append(Disturbance(rng.uniform(0.0, end), kind.PURGE, object_id=object_id, group=group))
     for _ in range(rng.choice((0, 0, 1, 3))):
-        made.append(Disturbance(rng.uniform(0.0, stop_at), kind.RELOAD))
-    return made
+        disturbances.append(Disturbance(rng.uniform(0.0, stop_at), kind.RELOAD))
+    return disturbances
--- a/hallproxy/lab/soak/rules.py
+++ b/hallproxy/lab/soak/rules.py
@@ -123,7 +123,7 @@
     def _check_repeat(
         self, request_id: str, class_name: str, earlier: list[SentAttempt], began_at: float
     ) -> None:
-        may_have_run = [one for one in earlier if not one.proved_not_run]
+        may_have_run = [attempt for attempt in earlier if not attempt.proved_not_run]
         if class_name == ONCE_CLASS and may_have_run:
             self.violate("repeat", f"{request_id} may have run at {may_have_run[0].store} before")
         if class_name == KEYED_CLASS and may_have_run:
@@ -132,14 +132,14 @@
                 self.violate(
                     "repeat", f"{request_id} is sent {elapsed:.3f} s after an attempt that may have run"
                 )
-        concurrent = [one for one in earlier if one.in_flight]
+        concurrent = [attempt for attempt in earlier if attempt.in_flight]
         if concurrent and not self.hedging:
             asyncio.get_running_loop().call_later(
                 HEDGE_CHECK_DELAY, self._check_abandoned, request_id, concurrent
             )
 
     def _check_abandoned(self, request_id: str, attempts: list[SentAttempt]) -> None:
-        if any(one.in_flight for one in attempts):
+        if any(attempt.in_flight for attempt in attempts):
             self.violate("two at once", f"{request_id} has two attempts in flight")
 
     def copy_used(
@@ -185,6 +185,6 @@
     def check_rejection(self, request_id: str, class_name: str) -> None:
         """Check that a rejected request did not run: a rejection promises that a retry is safe."""
         if class_name == ONCE_CLASS and any(
-            not one.proved_not_run for one in self.attempts.get(request_id, ())
+            not attempt.proved_not_run for attempt in self.attempts.get(request_id, ())
         ):
             self.violate("refusal", f"{request_id} was rejected but may have run")
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -21,15 +21,19 @@
     """Guards against lost, late, repeated and stale responses during disturbances, reloads and shutdowns."""
     with ProcessPoolExecutor(JOBS, mp_context=get_context("spawn")) as pool:
         outcomes = list(pool.map(run_seed, SEEDS))
-    assert not [(one.summary(), one.violations, one.gateway_log) for one in outcomes if one.violations]
-    assert sum(one.tally.requests for one in outcomes) > 200 * len(SEEDS)
+    assert not [
+        (outcome.summary(), outcome.violations, outcome.gateway_log)
+        for outcome in outcomes
+        if outcome.violations
+    ]
+    assert sum(outcome.tally.requests for outcome in outcomes) > 200 * len(SEEDS)
 
 
 def test_a_seed_always_gives_the_same_plan_and_all_disturbances_are_drawn() -> None:
     assert draw_plan(7) == draw_plan(7) != draw_plan(8)
     plans = [draw_plan(seed) for seed in SEEDS]
     assert {plan.signals for plan in plans} == set(SIGNAL_SERIES)
-    modes = {one.store_mode for plan in plans for one in plan.disturbances}
+    modes = {disturbance.store_mode for plan in plans for disturbance in plan.disturbances}
     assert modes == set(StoreMode)
     assert any(plan.idle_connections for plan in plans) and not all(plan.idle_connections for plan in plans)
 
