--- a/hallproxy/lab/capacity/changelog.py
+++ b/hallproxy/lab/capacity/changelog.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from hallproxy.lab.capacity import control_fleet as fleet
-from hallproxy.lab.capacity.children import Command, connections_most, obey, own_figures, tell
+from hallproxy.lab.capacity.children import Command, max_connections, own_usage, serve_commands, tell
 
 MS = 1_000_000  # ns
 WAIT_MOST = 5_000  # ms
@@ -61,7 +61,7 @@
 
 
 class Log:
-    def __init__(self, cuts: Cuts, members: int, purged: fleet.Purged) -> None:
+    def __init__(self, cuts: Cuts, members: int, purged: fleet.PurgeSequence) -> None:
         self.cuts, self.counts, self._purged = cuts, Counts(), purged
         self.cut = 0  # the last event that may be told
         self.held: dict[Peer, float] = {}  # who waits, until when
@@ -180,7 +180,7 @@
         lowest = min((p.since for p in self.peers), default=self.seq)
         return {
             **vars(self.counts),
-            **own_figures(),
+            **own_usage(),
             "seq": self.seq,
             "purges": self.purges,
             "confirmed": lowest,
@@ -200,7 +200,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        if len(self._log.peers) >= connections_most():
+        if len(self._log.peers) >= max_connections():
             transport.abort()
             return
         self._log.peers.add(self)
@@ -258,7 +258,7 @@
             case _:
                 return log.report()
 
-    await obey(do, seconds)
+    await serve_commands(do, seconds)
     sweeping.cancel()
     server.close()
     tell(**log.report())
@@ -277,7 +277,7 @@
     if not gather and not args.gather_ms:
         parser.error("without a time to gather for, events are cut by their number")
     cuts = Cuts(args.gather_ms, gather, args.page_events)
-    log = Log(cuts, args.members, fleet.Purged(args.seed))
+    log = Log(cuts, args.members, fleet.PurgeSequence(args.seed))
     asyncio.run(serve(log, args.seconds))
     return 0
 
--- a/hallproxy/lab/capacity/children.py
+++ b/hallproxy/lab/capacity/children.py
@@ -42,7 +42,7 @@
     print(json.dumps(figures), flush=True)
 
 
-async def obey(do: Callable[[Command], Command | None], seconds: float) -> None:
+async def serve_commands(do: Callable[[Command], Command | None], seconds: float) -> None:
     """Carry out each line of standard input and tell what comes of it, until it ends or the time is over."""
     reader = asyncio.StreamReader()
     running = asyncio.get_running_loop()
@@ -57,13 +57,13 @@
         print(f"ended after {seconds:g} s", file=sys.stderr, flush=True)
 
 
-def own_figures() -> dict[str, float]:
+def own_usage() -> dict[str, float]:
     """This process's processor time (s), and the most memory that it has held (MB)."""
     # Not getrusage's: that figure goes on from whoever started the process.
     return {"cpu_s": time.process_time(), "peak_mb": memory_mb(os.getpid())}
 
 
-def connections_most() -> int:
+def max_connections() -> int:
     """How many connections the process's limit of descriptors leaves room for."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0] - DESCRIPTORS_KEPT
 
@@ -72,7 +72,7 @@
 
 
 class Child:
-    """One process of a module of this package; its first line is `told`."""
+    """One process of a module of this package; its first line is `first_message`."""
 
     def __init__(self, module: str, *args: object) -> None:
         self.process = subprocess.Popen(
@@ -93,7 +93,7 @@
         ]
         for reader in self._readers:
             reader.start()
-        self.told: Command = {}
+        self.first_message: Command = {}
 
     def _read(self) -> None:
         assert self.process.stdout is not None
@@ -124,7 +124,7 @@
         return said
 
     def ready(self, within: float = ANSWER_IN) -> Self:
-        self.told = self.answer(within)
+        self.first_message = self.answer(within)
         return self
 
     def command(self, do: str, **words: Any) -> None:
@@ -206,7 +206,7 @@
                 self._ready.set()
         self._ready.set()
 
-    def listens(self) -> str:
+    def listening_address(self) -> str:
         """Where it listens; MeasurementError if it ended or did not say so in time."""
         if not self._ready.wait(ANSWER_IN) or not self._where:
             raise MeasurementError(f"hallproxy does not listen: {' / '.join(list(self.lines)[-3:])}")
--- a/hallproxy/lab/capacity/client.py
+++ b/hallproxy/lab/capacity/client.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from hallproxy.lab.capacity.process import body_of
+from hallproxy.lab.capacity.process import object_body
 from hallproxy.lab.capacity.registry import MeasurementError
 from hallproxy.wire import frames
 
@@ -61,7 +61,7 @@
 
 
 @dataclass
-class Counted:
+class ResponseCounts:
     answers: int = 0
     served: int = 0
     body_bytes: int = 0
@@ -77,7 +77,7 @@
     def __init__(self, port: int, size: int, connections: int = 4, ttl_ms: int = 9_000) -> None:
         self._port, self._size, self._wanted, self._ttl_ms = port, size, connections, ttl_ms
         self._made: list[Connection] = []
-        self.counted = Counted()
+        self.counts = ResponseCounts()
 
     async def open(self) -> None:
         running = asyncio.get_running_loop()
@@ -88,14 +88,14 @@
         for made in self._made:
             made.close()
 
-    async def one(self, row: int, nth: int) -> None:
+    async def request(self, row: int, nth: int) -> None:
         """Ask for one object on the connection of that number, counted round."""
         async with asyncio.timeout(ANSWER_IN):
             code, body = await self._made[nth % len(self._made)].ask(row, self._size / 1e3, self._ttl_ms)
-        self.counted.answers += 1
-        self.counted.served += code == frames.SERVED
-        self.counted.body_bytes += len(body)
-        self.counted.wrong += code == frames.SERVED and body != body_of(row, self._size)
+        self.counts.answers += 1
+        self.counts.served += code == frames.SERVED
+        self.counts.body_bytes += len(body)
+        self.counts.wrong += code == frames.SERVED and body != object_body(row, self._size)
 
     async def closed_loop(self, rows: Iterable[int], at_once: int) -> None:
         """So many requests are out all the time, spread over the connections."""
@@ -103,7 +103,7 @@
 
         async def worker(nth: int) -> None:
             for row in left:
-                await self.one(row, nth)
+                await self.request(row, nth)
 
         await asyncio.gather(*(worker(nth) for nth in range(at_once)))
 
@@ -116,6 +116,6 @@
             wait = began + n / rate - running.time()
             if wait > 0:
                 await asyncio.sleep(wait)
-            tasks.append(asyncio.ensure_future(self.one(row, n)))
+            tasks.append(asyncio.ensure_future(self.request(row, n)))
         await asyncio.gather(*tasks)
         return running.time() - began
--- a/hallproxy/lab/capacity/control.py
+++ b/hallproxy/lab/capacity/control.py
@@ -49,16 +49,16 @@
         "listen": "127.0.0.1:0",
         "seed": f"{run.seed:x}",
         "limits": {"memory_mb": 256, "sockets": 1024},
-        "changelog": log.told["address"],
+        "changelog": log.first_message["address"],
         "flow_bytes_per_s": 6_000_000,
         "link_bytes_per_s": 50_000_000,
         "known": known,
         "settings": fleet.settings(),
     }
-    path = run.where / "gateway.json"
+    path = run.scratch_dir / "gateway.json"
     path.write_text(json.dumps(config))
     with Program(*words, EDGE_CONFIG=str(path), EDGE_NAME="measured") as program:
-        program.listens()
+        program.listening_address()
         yield program
         require(not any("change log:" in x or "fault" in x for x in program.lines), "\n".join(program.lines))
 
@@ -165,7 +165,7 @@
 
 def page(seed: int, first: int, events: int) -> bytes:
     """A page of purges as the log words it, made without one: a purge each 1/180 s."""
-    told = fleet.Purged(seed)
+    told = fleet.PurgeSequence(seed)
     at = time.time_ns() // 1_000_000
     results = [
         {"seq": first + n, "invalidate": {"object": f"{told[n]:016x}", "time": at + int(n / RATE * 1000)}}
@@ -252,7 +252,10 @@
     listed, count = members(run), max(2, round(size * seconds(run) / 2))
     crowd = 4 if run.tiny else CROWD
     with Child("changelog", "--members", listed, "--seed", run.seed).ready() as log:
-        with gateway(run, log, listed) as program, hollow(log.told["address"], run, 1, listed).ready() as one:
+        with (
+            gateway(run, log, listed) as program,
+            hollow(log.first_message["address"], run, 1, listed).ready() as one,
+        ):
             before = one.ask("report")
             both = purged(log, size, count, program.pid, one.pid)
             after = one.ask("report")
@@ -264,7 +267,7 @@
                 f"the hollow gateway counts {bytes_hollow} bytes, the log {bytes_real} for the real one",
             )
     with Child("changelog", "--members", listed, "--seed", run.seed).ready() as log:
-        with hollow(log.told["address"], run, crowd, listed).ready() as many:
+        with hollow(log.first_message["address"], run, crowd, listed).ready() as many:
             told = purged(log, size, count, many.pid, each=crowd)
             all_held(many.ask("report"), crowd, count)
     real, like = both.cpu_s
--- a/hallproxy/lab/capacity/control_fleet.py
+++ b/hallproxy/lab/capacity/control_fleet.py
@@ -115,7 +115,7 @@
     return {"generation": 1, "reset": True, "instances": [store(n) for n in range(members)]}
 
 
-class Purged:
+class PurgeSequence:
     """The objects that are purged, in their order: the same for the same seed, and none of them twice."""
 
     def __init__(self, seed: int) -> None:
--- a/hallproxy/lab/capacity/control_rows.py
+++ b/hallproxy/lab/capacity/control_rows.py
@@ -34,8 +34,10 @@
 
 def _bytes_coded(size: Size, coded: Slope) -> Worked:
     page, pages = coded.at(EVENTS), 1 / program.GATHER
-    text = f"{num(pages)} pages/s × ({num(page)} bytes in gzip + {num(program.POLL)} of a poll), no heads"
-    return Worked(pages * (page + program.POLL), text)
+    text = (
+        f"{num(pages)} pages/s × ({num(page)} bytes in gzip + {num(program.POLL_BYTES)} of a poll), no heads"
+    )
+    return Worked(pages * (page + program.POLL_BYTES), text)
 
 
 def _relayed(size: Size, of: Slope) -> Worked:
@@ -66,7 +68,7 @@
         f"3 × ({num(size.failed_a_day)} + {num(size.restarted_a_day)}) changes a day, if all were stores, "
         f"÷ 86,400 s × {num(ms)} ms among {num(size.stores)} members"
     )
-    return Worked(size.members_told * ms / 1e3, text)
+    return Worked(size.list_changes * ms / 1e3, text)
 
 
 def _zone_changes(size: Size, change: Slope) -> Worked:
@@ -119,7 +121,10 @@
         "of those, the polls alone",
         Figure(
             "bytes/s",
-            told(SIZE.purges * program.POLL, f"{num(SIZE.purges)} polls/s × {num(program.POLL)} bytes"),
+            told(
+                SIZE.purges * program.POLL_BYTES,
+                f"{num(SIZE.purges)} polls/s × {num(program.POLL_BYTES)} bytes",
+            ),
             allowed=SIZE.control_bytes,
         ),
         program.POLLER,
@@ -172,7 +177,7 @@
         "control",
         "time",
         "time from a purge to the last gateway that holds it, through two tiers of relays",
-        Figure("ms", _tiers, (Need("relay.tiers", "delay_p100_ms"),), 1e3 * SIZE.purge_in),
+        Figure("ms", _tiers, (Need("relay.tiers", "delay_p100_ms"),), 1e3 * SIZE.purge_deadline),
         program.RELAY,
     ),
     Row(
@@ -200,7 +205,10 @@
         "purges the module holds until each is done everywhere",
         Figure(
             "",
-            told(SIZE.purges * (SIZE.purge_in + 1), f"{num(SIZE.purges)}/s × ({num(SIZE.purge_in)} + 1) s"),
+            told(
+                SIZE.purges * (SIZE.purge_deadline + 1),
+                f"{num(SIZE.purges)}/s × ({num(SIZE.purge_deadline)} + 1) s",
+            ),
             allowed=purges.PURGES_MAX,
         ),
         program.MODULE,
@@ -218,8 +226,8 @@
         "control",
         "state",
         "time for which a gateway without news still serves own copies",
-        Figure("s", told(program.DEAF_IN, "the program's own bound"), allowed=SIZE.purge_in),
-        program.DEAF,
+        Figure("s", told(program.STALE_WATCH_TIME, "the program's own bound"), allowed=SIZE.purge_deadline),
+        program.STALE_COPIES,
     ),
     Row(
         "control",
@@ -291,7 +299,7 @@
             "s",
             lambda size, delay: Worked(delay.at(size.gateways), f"{num(size.gateways)} gateways"),
             (Need("configuration.gateways", "in_force_s"),),
-            SIZE.change_in,
+            SIZE.change_deadline,
         ),
         program.CONFIGURATION,
     ),
@@ -399,7 +407,7 @@
             "ms",
             _machine("ms", "an event a page, if it keeps up"),
             (Need("logs.followers", "delay_p100_ms"),),
-            1e3 * SIZE.purge_in,
+            1e3 * SIZE.purge_deadline,
         ),
         program.POLLER,
     ),
@@ -421,7 +429,12 @@
         "machine",
         "time",
         "a log that tells in pages: the longest from a purge to its last follower",
-        Figure("ms", _machine("ms", "in pages"), (Need("logs.pages", "delay_p100_ms"),), 1e3 * SIZE.purge_in),
+        Figure(
+            "ms",
+            _machine("ms", "in pages"),
+            (Need("logs.pages", "delay_p100_ms"),),
+            1e3 * SIZE.purge_deadline,
+        ),
         program.RELAY,
     ),
     Row(
@@ -443,7 +456,10 @@
         "time",
         "a relay: the longest from a purge to its last follower",
         Figure(
-            "ms", _machine("ms", "in pages"), (Need("relay.followers", "delay_p100_ms"),), 1e3 * SIZE.purge_in
+            "ms",
+            _machine("ms", "in pages"),
+            (Need("relay.followers", "delay_p100_ms"),),
+            1e3 * SIZE.purge_deadline,
         ),
         program.RELAY,
     ),
--- a/hallproxy/lab/capacity/decisions.py
+++ b/hallproxy/lab/capacity/decisions.py
@@ -71,7 +71,7 @@
     members: int, zones: int, run: Run, parents: int | None = None
 ) -> tuple[Settings, tuple[Endpoint, ...]]:
     settings = fleet.settings(zones)
-    listed = fleet.lines(members, run.random, zones, parents)
+    listed = fleet.endpoint_lines(members, run.random, zones, parents)
     return settings, tuple(decode_endpoint(line, settings)[0] for line in listed)
 
 
@@ -102,7 +102,7 @@
         "decision_us": statistics.median(blocks),
         "memory_kb": size / 1e3,
         "caches": float(caches),
-        "parents": float(fleet.parents_of(members) if parents is None else parents),
+        "parents": float(fleet.default_parent_count(members) if parents is None else parents),
     }
 
 
--- a/hallproxy/lab/capacity/failures.py
+++ b/hallproxy/lab/capacity/failures.py
@@ -75,10 +75,10 @@
 
 
 def _missed(size: Size) -> Worked:
-    events = size.purges * size.cut
+    events = size.purges * size.partition
     seconds = events * EVENT / size.control_bytes
     text = (
-        f"{num(size.purges)}/s × {num(size.cut)} s = {num(events)} events × {num(EVENT)} bytes "
+        f"{num(size.purges)}/s × {num(size.partition)} s = {num(events)} events × {num(EVENT)} bytes "
         f"÷ {num(size.control_bytes)} bytes/s"
     )
     return Worked(seconds, text)
@@ -122,7 +122,7 @@
     Failure(
         "a gateway's machine",
         f"{num(SIZE.failed_a_day)} machines a day, if all were gateways",
-        f"{num(SIZE.asked)} requests/s until clients ask another; nothing that is kept elsewhere too",
+        f"{num(SIZE.gateway_rate)} requests/s until clients ask another; nothing that is kept elsewhere too",
         "by clients and the front ahead of it; nothing here tells that a gateway is gone",
         Figure("s", _ready, (READY,)),
         Figure("KB", _start_kb, STARTED),
@@ -186,7 +186,7 @@
             lambda size: Worked(
                 size.requests / size.zones / (2 * size.zone_gateways),
                 f"{num(size.requests / size.zones)}/s ÷ 2 zones of {num(size.zone_gateways)} gateways, "
-                f"over the {num(size.asked)}/s they have",
+                f"over the {num(size.gateway_rate)}/s they have",
             ),
         ),
         "requests more",
@@ -195,19 +195,19 @@
     Failure(
         "a region cut off for an hour: the cut",
         "now and then",
-        f"news at {num(SIZE.region_gateways)} gateways: {num(SIZE.purges * SIZE.cut)} purges and "
-        f"{num(SIZE.changes * SIZE.cut)} changes of configuration; own copies rest",
+        f"news at {num(SIZE.region_gateways)} gateways: {num(SIZE.purges * SIZE.partition)} purges and "
+        f"{num(SIZE.changes * SIZE.partition)} changes of configuration; own copies rest",
         f"by each gateway: a poll fails after {num(NOTICED)} s",
         Figure(
             "s",
-            lambda size: Worked(program.DEAF_IN, "own copies rest so long after the last news"),
-            allowed=SIZE.purge_in,
+            lambda size: Worked(program.STALE_WATCH_TIME, "own copies rest so long after the last news"),
+            allowed=SIZE.purge_deadline,
         ),
         Figure(
             "requests/s to stores more",
             lambda size: Worked(
-                size.asked * size.region_gateways,
-                f"{num(size.asked)}/s × {num(size.region_gateways)} gateways, at most",
+                size.gateway_rate * size.region_gateways,
+                f"{num(size.gateway_rate)}/s × {num(size.region_gateways)} gateways, at most",
             ),
         ),
         "own copies that rest",
@@ -218,12 +218,13 @@
         "now and then",
         "nothing more; what was purged meanwhile is not served until it is told",
         "the first answer of the log",
-        Figure("s", _missed, allowed=SIZE.purge_in),
+        Figure("s", _missed, allowed=SIZE.purge_deadline),
         Figure(
             "GB",
             lambda size: Worked(
-                size.region_gateways * size.purges * size.cut * EVENT / 1e9,
-                f"{num(size.region_gateways)} gateways × {num(size.purges * size.cut)} × {num(EVENT)} bytes",
+                size.region_gateways * size.purges * size.partition * EVENT / 1e9,
+                f"{num(size.region_gateways)} gateways × {num(size.purges * size.partition)} "
+                f"× {num(EVENT)} bytes",
             ),
         ),
         "to the region, plain",
@@ -234,7 +235,7 @@
         "now and then",
         "all own copies; every store's copies bear an age limit for a while",
         "the first answer of a relay whose ring no longer reaches back",
-        Figure("s", _whole_page, (LISTED,), SIZE.purge_in),
+        Figure("s", _whole_page, (LISTED,), SIZE.purge_deadline),
         Figure("MB", _whole_pages, (LISTED,)),
         "to the region",
         program.RELAY,
@@ -252,7 +253,7 @@
                 f"{num(size.gateways)} at the size",
             ),
             (Need("relay.changeover", "delay_p100_ms"),),
-            1e3 * SIZE.purge_in,
+            1e3 * SIZE.purge_deadline,
         ),
         Figure("followers more at each other", _moved),
         "changing over",
@@ -265,7 +266,7 @@
         f"by each follower: a poll fails after {num(NOTICED)} s",
         Figure(
             "s",
-            lambda size: Worked(program.DEAF_IN, "own copies rest; news come when the log is back"),
+            lambda size: Worked(program.STALE_WATCH_TIME, "own copies rest; news come when the log is back"),
         ),
         Figure("requests/s to stores more", lambda size: Worked(size.requests, "all requests, at most")),
         "own copies that rest",
@@ -274,7 +275,7 @@
     Failure(
         "all gateways of a site at once: they stop",
         "not told",
-        f"{num(SIZE.site)} gateways with {num(SIZE.site * SIZE.asked)} requests/s",
+        f"{num(SIZE.site)} gateways with {num(SIZE.site * SIZE.gateway_rate)} requests/s",
         "by clients and the front ahead of them",
         Figure("s", _together, (TOGETHER,)),
         Figure("MB", _site_mb, STARTED),
@@ -303,7 +304,7 @@
         "whatever it breaks, everywhere within seconds",
         "a file that can't be used changes nothing and is a line in each gateway's own log",
         Figure("s", lambda size, of: Worked(of.at(size.gateways), f"{num(size.gateways)} gateways"),
-               (Need("configuration.gateways", "in_force_s"),), SIZE.change_in),
+               (Need("configuration.gateways", "in_force_s"),), SIZE.change_deadline),
         Figure("", lambda size: Worked(float("nan"), "not worked out")),
         "taking it back",
         Mechanism("a change tried at few gateways first, and taken back by itself"),
--- a/hallproxy/lab/capacity/fits.py
+++ b/hallproxy/lab/capacity/fits.py
@@ -8,7 +8,7 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from hallproxy.lab.capacity.registry import LEAST_SIZES
+from hallproxy.lab.capacity.registry import MIN_SIZES
 from hallproxy.lab.capacity.results import Result
 
 STRAIGHT_RESIDUAL = 0.05  # relative residual up to which a line is called straight, ...
@@ -106,8 +106,8 @@
 
 def fit(of: Sequence[Point]) -> Fit:
     """Raises FitError under four sizes."""
-    if len(of) < LEAST_SIZES:
-        raise FitError(f"{len(of)} sizes of at least {LEAST_SIZES}")
+    if len(of) < MIN_SIZES:
+        raise FitError(f"{len(of)} sizes of at least {MIN_SIZES}")
     x = np.array([p.x for p in of])
     y = np.array([p.y for p in of])
     mean = float(np.mean(np.abs(y)))
--- a/hallproxy/lab/capacity/fleet.py
+++ b/hallproxy/lab/capacity/fleet.py
@@ -12,10 +12,10 @@
 from hallproxy.interface import Settings
 from hallproxy.wire.simulator_settings import settings_from_json
 
-ZONES_OF_HUB = 3
+ZONES_PER_HUB = 3
 ZONES = 51
 GATEWAYS = 7_100
-CACHES_A_PARENT = 3.45
+CACHES_PER_PARENT = 3.45
 """The middle of `per_parent` in both files of deploy/sites (2.7 to 4.2, 2.5 to 4.4)."""
 
 MS = 1_000_000  # ns
@@ -24,16 +24,16 @@
 
 
 def hub_of(zone: int) -> int:
-    return zone - zone % ZONES_OF_HUB
+    return zone - zone % ZONES_PER_HUB
 
 
-def hubs_of(zones: int) -> list[int]:
+def hub_zones(zones: int) -> list[int]:
     return sorted({hub_of(zone) for zone in range(zones)})
 
 
-def parents_of(members: int) -> int:
+def default_parent_count(members: int) -> int:
     """How many of so many members are parents, where a measurement doesn't set it."""
-    return max(1, round((members - 1) / (1 + CACHES_A_PARENT)))
+    return max(1, round((members - 1) / (1 + CACHES_PER_PARENT)))
 
 
 def settings_json(zones: int = ZONES, gateways: int = GATEWAYS, aim_ms: int = 400) -> Json:
@@ -67,7 +67,7 @@
     return settings_from_json(json.dumps(settings_json(zones, gateways)).encode())
 
 
-def lines(
+def endpoint_lines(
     members: int, drawn: random.Random, zones: int = ZONES, parents: int | None = None, address: str = ""
 ) -> list[Json]:
     """The list as the change log words it, in a drawn order; ids are new with each draw.
@@ -75,8 +75,8 @@
     ``address`` is everybody's; empty: each has one of its own. Raises ValueError for a list that has no room
     for a cache beside its origin and parents.
     """
-    parents = parents_of(members) if parents is None else parents
-    caches, hubs = members - 1 - parents, hubs_of(zones)
+    parents = default_parent_count(members) if parents is None else parents
+    caches, hubs = members - 1 - parents, hub_zones(zones)
     if caches < 1 or parents < 0:
         raise ValueError(f"{members} members of which {parents} are parents")
     idents = drawn.sample(range(1 << 32), members)
@@ -103,11 +103,11 @@
     return {"seq": last, "results": [{"seq": first + n, **entry} for n, entry in enumerate(entries)]}
 
 
-def whole(listed: list[Json], generation: int = 1) -> Json:
+def full_list(listed: list[Json], generation: int = 1) -> Json:
     return {"fleet": {"generation": generation, "reset": True, "instances": listed}}
 
 
-def change(line: Json, generation: int = 2, **changed: Any) -> Json:
+def list_change(line: Json, generation: int = 2, **changed: Any) -> Json:
     """The news of one member's line: as it is, but for what has changed."""
     return {"fleet": {"generation": generation, "reset": False, "instances": [line | changed]}}
 
--- a/hallproxy/lab/capacity/gateway_rows.py
+++ b/hallproxy/lab/capacity/gateway_rows.py
@@ -29,7 +29,7 @@
 
 
 def _rate(size: Size, core: Slope) -> Worked:
-    return Worked(core.cores(size.asked), f"measured by rate, at {num(size.asked)}/s")
+    return Worked(core.cores(size.gateway_rate), f"measured by rate, at {num(size.gateway_rate)}/s")
 
 
 def _serving(size: Size, decision: Slope, body: Slope) -> Worked:
@@ -51,7 +51,7 @@
         "serving",
         "messages",
         "requests a second",
-        Figure("/s", told(SIZE.asked, f"{num(SIZE.requests)}/s ÷ {num(SIZE.gateways)} gateways")),
+        Figure("/s", told(SIZE.gateway_rate, f"{num(SIZE.requests)}/s ÷ {num(SIZE.gateways)} gateways")),
         program.ONE_LOOP,
     ),
     Row(
@@ -71,7 +71,10 @@
         "parts a second, if bodies come in the largest parts",
         Figure(
             "/s",
-            told(program.PARTS, f"{num(SIZE.asked)}/s × {num(SIZE.body_kb)} KB ÷ {num(program.PART_KB)} KB"),
+            told(
+                program.PARTS,
+                f"{num(SIZE.gateway_rate)}/s × {num(SIZE.body_kb)} KB ÷ {num(program.PART_KB)} KB",
+            ),
         ),
         program.FRAMES,
     ),
@@ -130,7 +133,7 @@
         "requests open at once, for each 0.1 s one is",
         Figure(
             "",
-            told(program.PARTS * program.CALM, f"{num(program.PARTS)}/s × {num(program.CALM)} s"),
+            told(program.PARTS * program.OPEN_TIME, f"{num(program.PARTS)}/s × {num(program.OPEN_TIME)} s"),
             allowed=program.BOUNDS.requests,
         ),
         program.LIMITS,
@@ -142,8 +145,8 @@
         Figure(
             "MB",
             told(
-                SIZE.sent_mb * program.CALM,
-                f"{num(SIZE.sent_mb)} MB/s × {num(program.CALM)} s; "
+                SIZE.sent_mb * program.OPEN_TIME,
+                f"{num(SIZE.sent_mb)} MB/s × {num(program.OPEN_TIME)} s; "
                 f"allowed: a gateway's with {num(program.MEMORY_MB)} MB",
             ),
             allowed=program.BOUNDS.body_bytes / 1e6,
@@ -264,8 +267,8 @@
         Figure(
             "",
             told(
-                SIZE.asked * COUNT_HALVING_INTERVAL / program.SECOND,
-                f"{num(SIZE.asked)}/s × {num(COUNT_HALVING_INTERVAL / program.SECOND)} s; "
+                SIZE.gateway_rate * COUNT_HALVING_INTERVAL / program.SECOND,
+                f"{num(SIZE.gateway_rate)}/s × {num(COUNT_HALVING_INTERVAL / program.SECOND)} s; "
                 "counts are halved then",
             ),
             allowed=COUNTS_MAX,
@@ -413,7 +416,9 @@
 
 def _files_cores(size: Size, core: Slope) -> Worked:
     us = core.at(size.body_kb)
-    return Worked(size.asked * us / 1e6, f"{num(size.asked)}/s × {num(us)} µs for {num(size.body_kb)} KB")
+    return Worked(
+        size.gateway_rate * us / 1e6, f"{num(size.gateway_rate)}/s × {num(us)} µs for {num(size.body_kb)} KB"
+    )
 
 
 def _indexes(size: Size, core: Slope) -> Worked:
--- a/hallproxy/lab/capacity/hollow.py
+++ b/hallproxy/lab/capacity/hollow.py
@@ -31,7 +31,7 @@
 from hallproxy.decisions import Router
 from hallproxy.feed.source_selection import SourceSelection
 from hallproxy.lab.capacity import control_fleet as fleet
-from hallproxy.lab.capacity.children import Command, connections_most, obey, own_figures, tell
+from hallproxy.lab.capacity.children import Command, max_connections, own_usage, serve_commands, tell
 from hallproxy.run import poll_connection
 from hallproxy.run.change_log_poller import Poller
 from hallproxy.run.config import Address, address
@@ -56,7 +56,7 @@
 class Tally:
     """What all followers of this process have held."""
 
-    def __init__(self, purged: fleet.Purged) -> None:
+    def __init__(self, purged: fleet.PurgeSequence) -> None:
         self._purged = purged
         self.held = array("I")  # by a purge's place: how many followers hold it
         self.delay = array("q")  # by a purge's place: us from its own time until the last one did
@@ -69,17 +69,17 @@
         self.connects += 1
         self.connected.append((time.time_ns() // MS, where[1]))
 
-    def took(self, follower: Follower, obj: int, at_ms: int) -> None:
+    def record_purge(self, follower: Follower, obj: int, at_ms: int) -> None:
         """A follower holds this purge now, which was made at `at_ms`."""
         place = self._purged.place(obj, PURGES_MOST)
         if place is None:
             self.foreign += 1
             return
-        if place < follower.next:
+        if place < follower.next_index:
             self.twice += 1
             return
-        self.lost += place - follower.next
-        follower.next = place + 1
+        self.lost += place - follower.next_index
+        follower.next_index = place + 1
         while len(self.held) <= place:
             self.held.append(0)
             self.delay.append(0)
@@ -89,8 +89,8 @@
     def report(self, followers: Sequence[Follower]) -> Command:
         return {
             "followers": len(followers),
-            "least": min(f.next for f in followers),
-            "most": max(f.next for f in followers),
+            "least": min(f.next_index for f in followers),
+            "most": max(f.next_index for f in followers),
             "held": self.held.tolist(),
             "delay_us": self.delay.tolist(),
             "lost": self.lost,
@@ -102,17 +102,17 @@
             "connects": self.connects,
             "bytes_in": self.bytes_in,
             "bytes_out": self.bytes_out,
-            **own_figures(),
+            **own_usage(),
         }
 
 
 class Follower:
-    """Who holds purges: `next` is the place of the next one."""
+    """Who holds purges: `next_index` is the place of the next one."""
 
-    next = 0
+    next_index = 0
 
 
-class Counted(Stream):
+class CountedStream(Stream):
     """The poller's stream, whose connects and bytes are counted."""
 
     tally: Tally
@@ -152,7 +152,7 @@
         raise AssertionError("a hollow gateway has no links")
 
 
-class Hollow(EffectRunner, Follower):
+class HollowGateway(EffectRunner, Follower):
     def __init__(self, state: GatewayState, tally: Tally) -> None:
         super().__init__(state)
         self.connections = NoStores()
@@ -162,14 +162,14 @@
         super().dispatch(event)
         match event:
             case PurgeNotified() if event.object:
-                self._tally.took(self, event.object, event.purged_at // MS)
+                self._tally.record_purge(self, event.object, event.purged_at // MS)
             case PurgeNotified():
                 self._tally.groups += 1
             case EndpointListUpdated():
                 self._tally.lists += 1
 
 
-def hollows(count: int, members: int, seed: int, tally: Tally) -> list[Hollow]:
+def hollow_gateways(count: int, members: int, seed: int, tally: Tally) -> list[HollowGateway]:
     settings = settings_from_json(json.dumps(fleet.settings()).encode())
     bounds = Limits(local_cache_bytes=24 * MB)
     known = {"seq": FIRST, "results": [{"seq": FIRST, "fleet": fleet.list_event(members)}]}
@@ -178,7 +178,7 @@
         event for _, event in decode_events(known, 0, settings, time.time_ns(), True, live=False) if event
     ]
     for number in range(count):
-        hollow = Hollow(GatewayState(settings, Router(settings, seed + number), bounds), tally)
+        hollow = HollowGateway(GatewayState(settings, Router(settings, seed + number), bounds), tally)
         for event in told:
             hollow.dispatch(event)
         hollow.dispatch(WatchCaughtUp(hollow.now()))
@@ -212,7 +212,7 @@
         return page
 
 
-class Light(Follower, asyncio.Protocol):
+class LightFollower(Follower, asyncio.Protocol):
     """A follower that polls and counts alone. What it is told must be contiguous."""
 
     def __init__(self, where: Address, tally: Tally, pages: Pages, coding: bytes) -> None:
@@ -274,7 +274,7 @@
                 self._tally.foreign += 1
             self.since = seq
             if obj:
-                self._tally.took(self, obj, at_ms)
+                self._tally.record_purge(self, obj, at_ms)
             elif at_ms:
                 self._tally.groups += 1
             else:
@@ -287,8 +287,8 @@
 
 
 async def serve(args: argparse.Namespace) -> None:
-    empty_mb = own_figures()["peak_mb"]
-    tally = Tally(fleet.Purged(args.seed))
+    empty_mb = own_usage()["peak_mb"]
+    tally = Tally(fleet.PurgeSequence(args.seed))
     addresses = tuple(map(address, args.at.split(",")))
     where = addresses[0]
     followers: Sequence[Follower]
@@ -296,15 +296,15 @@
     if args.light:
         coding = b"Accept-Encoding: gzip\r\n" if args.gzip else b""
         pages = Pages()
-        light = [Light(where, tally, pages, coding) for _ in range(args.gateways)]
+        light = [LightFollower(where, tally, pages, coding) for _ in range(args.gateways)]
         followers = light
         tasks = [asyncio.ensure_future(one.run()) for one in light]
         while not all(one.heard for one in light):
             await asyncio.sleep(0.01)
     else:
-        Counted.tally = tally
-        poll_connection.tcp_stream = Counted.made  # type: ignore[attr-defined]
-        made = hollows(args.gateways, args.members, args.first, tally)
+        CountedStream.tally = tally
+        poll_connection.tcp_stream = CountedStream.made  # type: ignore[attr-defined]
+        made = hollow_gateways(args.gateways, args.members, args.first, tally)
         followers = made
         gc.collect()
         gc.freeze()
@@ -318,16 +318,16 @@
         tasks = [asyncio.ensure_future(one.run()) for one in pollers]
         for poller in pollers:
             await poller.wait_until_current()
-    tell(ready=len(followers), empty_mb=empty_mb, **own_figures())
+    tell(ready=len(followers), empty_mb=empty_mb, **own_usage())
 
     def do(command: Command) -> Command:
         if command["do"] == "least":
-            return {"least": min(one.next for one in followers)}
+            return {"least": min(one.next_index for one in followers)}
         if command["do"] == "connects":
             return {"connects": list(tally.connected)}
         return tally.report(followers)
 
-    await obey(do, args.seconds)
+    await serve_commands(do, args.seconds)
     for task in tasks:
         task.cancel()
     tell(**tally.report(followers))
@@ -345,8 +345,8 @@
     parser.add_argument("--gzip", action="store_true", help="ask for it")
     parser.add_argument("--spread-ms", type=int, default=500, help="how long a change of address may take")
     args = parser.parse_args(argv)
-    if args.gateways > connections_most():
-        parser.error(f"the limit of descriptors leaves room for {connections_most()} connections")
+    if args.gateways > max_connections():
+        parser.error(f"the limit of descriptors leaves room for {max_connections()} connections")
     asyncio.run(serve(args))
     return 0
 
--- a/hallproxy/lab/capacity/lists.py
+++ b/hallproxy/lab/capacity/lists.py
@@ -1,7 +1,7 @@
 """What a list of members costs a gateway, and what one change of it does.
 
 News goes the way it goes in a gateway: `decode_page`, `decode_events`, `reduce`. Two members in nine are
-parents (`fleet.CACHES_A_PARENT`), but for `lists.parents`, which sets them.
+parents (`fleet.CACHES_PER_PARENT`), but for `lists.parents`, which sets them.
 """
 
 import json
@@ -45,8 +45,8 @@
 
 
 def _measure(members: int, parents: int, run: Run) -> Measured:
-    listed = fleet.lines(members, run.random, parents=parents)
-    raw = json.dumps(fleet.page([fleet.whole(listed)])).encode()
+    listed = fleet.endpoint_lines(members, run.random, parents=parents)
+    raw = json.dumps(fleet.page([fleet.full_list(listed)])).encode()
     fulls = []
     for _ in range(1 if run.tiny else 3):
         gateway = Gateway(run.seed)
@@ -57,13 +57,15 @@
     if sum(map(len, tiers)) > parents + 1 or len(tiers[-1]) != 1:
         raise MeasurementError(f"{sum(map(len, tiers))} sources of {parents} parents and an origin")
     part = sum(peer.fill_share for tier in tiers[:-1] for peer in tier)
-    hub = sum(gateway.state.settings.gateways_by_zone[: fleet.ZONES_OF_HUB])
+    hub = sum(gateway.state.settings.gateways_by_zone[: fleet.ZONES_PER_HUB])
     if not 0 < part <= hub * (1 + 1e-6):
         raise MeasurementError(f"parents are to get {part} of the region's {hub} gateways' fills")
     caches = [line for line in listed if line["machineType"] == "std"]
     changes: list[float] = []
     for n, line in enumerate(caches[:-1][: 3 if run.tiny else CHANGES]):
-        told = json.dumps(fleet.page([fleet.change(line, 2 + n, lifecycle="Terminating")], gateway.heard + 1))
+        told = json.dumps(
+            fleet.page([fleet.list_change(line, 2 + n, lifecycle="Terminating")], gateway.heard + 1)
+        )
         changes.append(gateway.hear(told.encode()))
         if sum(changes) > CHANGES_FOR and n >= 4:
             break
@@ -99,7 +101,7 @@
     "parents, in 51 zones of 17 regions", quantities=QUANTITIES, minutes=3.0,
 )  # fmt: skip
 def members(size: float, run: Run) -> Measured:
-    return _measure(int(size), fleet.parents_of(int(size)), run)
+    return _measure(int(size), fleet.default_parent_count(int(size)), run)
 
 
 @measurement(
--- a/hallproxy/lab/capacity/logs.py
+++ b/hallproxy/lab/capacity/logs.py
@@ -99,7 +99,7 @@
         ):
             if hollow:
                 cpu += report["cpu_s"] - before["cpu_s"]
-                memory += report["peak_mb"] - child.told["empty_mb"]
+                memory += report["peak_mb"] - child.first_message["empty_mb"]
                 bytes_both += sum(report[x] - before[x] for x in ("bytes_in", "bytes_out"))
                 size += followers
             share = max(share, CORE * (report["cpu_s"] - before["cpu_s"]) / took)
@@ -141,7 +141,7 @@
     listed, count = MEMBERS_TINY if run.tiny else MEMBERS, round(RATE * seconds(run))
     with ExitStack() as stack:
         log = stack.enter_context(Child("changelog", "--members", listed, "--seed", run.seed, *words)).ready()
-        asking = Followers(run, stack, [log.told["address"]], followers, hollow)
+        asking = Followers(run, stack, [log.first_message["address"]], followers, hollow)
         asking.begin()
         before, began = log.ask("report"), time.monotonic()
         log.command("purge", rate=RATE, count=count)
--- a/hallproxy/lab/capacity/process.py
+++ b/hallproxy/lab/capacity/process.py
@@ -53,7 +53,7 @@
     raise MeasurementError(f"/proc/{pid}/status has no {which}")
 
 
-def body_of(row: int, size: int) -> bytes:
+def object_body(row: int, size: int) -> bytes:
     """What the stand-in store holds of an object: made of its number, so that a mix-up shows."""
     return (row.to_bytes(8, "big") * (size // 8 + 1))[:size]
 
@@ -145,7 +145,7 @@
         born = b"X-Born-Ms: %d\r\n" % (time.time_ns() // fleet.MS) if self._dated else b""
         head = b'HTTP/1.1 200 OK\r\nETag: "%x"\r\n%s' % (self._row, born)
         head += b"Content-Length: %d\r\n\r\n" % self._size
-        self._transport.write(head + body_of(self._row, self._size))
+        self._transport.write(head + object_body(self._row, self._size))
 
 
 @dataclass
@@ -213,7 +213,7 @@
         self.began = time.perf_counter()
         self.ready_ms = 0.0
         self.port = 0
-        self.core_s = self.most_kb = 0.0  # for whoever notes them
+        self.core_s = self.peak_kb = 0.0  # for whoever notes them
         self.process = subprocess.Popen(
             [sys.executable, "-m", "hallproxy"], cwd=ROOT, stderr=subprocess.PIPE,
             env=env | {"EDGE_CONFIG": str(path), "EDGE_NAME": name, "PYTHONPATH": str(ROOT)},
@@ -277,14 +277,14 @@
         raise MeasurementError(f"the gateway's log tells of faults: {made.faults()[:2]}")
 
 
-def few(address: str, caches: int = 4) -> list[fleet.Json]:
+def small_list(address: str, caches: int = 4) -> list[fleet.Json]:
     """A list of so many caches, a parent and the origin, all at one address, in the one zone there is."""
     made = [("o-0", "origin"), ("p-0", "parent"), *((f"s-{n}", "std") for n in range(caches))]
     return [{"instanceId": ident, "hostPort": address, "zone": "zone-0", "machineType": kind, "cell": 0,
              "lifecycle": "Ready", "weight": 100.0, "startedAtMs": 0} for ident, kind in made]  # fmt: skip
 
 
-def one_zone() -> fleet.Json:
+def one_zone_settings() -> fleet.Json:
     """Settings of a site that one gateway has to itself, so that what it does is bounded by itself alone.
 
     The aim is long: on a busy machine the gateway must not take its own lateness for a jam.
--- a/hallproxy/lab/capacity/program.py
+++ b/hallproxy/lab/capacity/program.py
@@ -18,15 +18,15 @@
 )  # nothing of them is asked for but when stores close idle connections: never told
 BOUNDS = limits.derive_limits(Config("", ("", 0), 0, MEMORY_MB, SOCKETS, None, 0, 0, {}, _SETTINGS))
 """What it may hold with them, on a machine that allows a process as many descriptors."""
-PARTS = SIZE.asked * SIZE.body_kb / PART_KB
+PARTS = SIZE.gateway_rate * SIZE.body_kb / PART_KB
 """Parts a second at one gateway, were bodies told in the largest parts there are."""
 GATHER = 0.25
 """s that a relay waits for more events before it cuts a page (`gather_ms` where its file does not say)."""
-CALM = 0.1
+OPEN_TIME = 0.1
 """s that a request is taken to be open, as nobody told; what grows with it is said for each 0.1 s."""
-DEAF_IN = caching.STALE_WATCH_AFTER / SECOND
+STALE_WATCH_TIME = caching.STALE_WATCH_AFTER / SECOND
 """s without news after which own copies rest."""
-POLL = len(encode_poll(10**9, change_log_poller.POLL_WAIT, "10.100.100.100:4222"))
+POLL_BYTES = len(encode_poll(10**9, change_log_poller.POLL_WAIT, "10.100.100.100:4222"))
 """Bytes of a poll's request, its number a billion."""
 
 FRAMES = Mechanism("answers in frames, a part at a time", "hallproxy/wire/frames.py")
@@ -39,8 +39,10 @@
 RELAY = Mechanism("relays that gather, code once and pass on", "hallproxy/relay/__init__.py")
 PURGES = Mechanism("the table of purges", "hallproxy/state/purges.py")
 MEMBERS = Mechanism("the list, changed in place", "hallproxy/state/endpoints.py")
-DEAF = Mechanism("own copies rest without news", "hallproxy/state/caching.py")
-LINKED = Mechanism("connections kept and closed by the reducer", "hallproxy/state/connection_pool.py")
+STALE_COPIES = Mechanism("own copies rest without news", "hallproxy/state/caching.py")
+CONNECTION_POOL = Mechanism(
+    "connections kept and closed by the reducer", "hallproxy/state/connection_pool.py"
+)
 CONFIGURATION = Mechanism("a file and SIGHUP on each machine; nothing carries a change to all of them")
 REPORTS = Mechanism("nothing sends use, health or versions in force; `hallproxy usage` asks one gateway")
 FRONT = Mechanism("the package repositories' front", "hallproxy/repository/front.py")
--- a/hallproxy/lab/capacity/registry.py
+++ b/hallproxy/lab/capacity/registry.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-LEAST_SIZES = 4
+MIN_SIZES = 4
 """Fewer sizes than this tell no curve from a line."""
 
 
@@ -28,12 +28,12 @@
 
 @dataclass
 class Run:
-    """What a measurement is given beside its size: `where` is a scratch directory, removed after."""
+    """What a measurement is given beside its size: `scratch_dir` is removed after the measurement."""
 
     seed: int
     tiny: bool
     random: random.Random
-    where: Path
+    scratch_dir: Path
 
 
 Measured = dict[str, float | None]
@@ -59,8 +59,8 @@
 
     def __post_init__(self) -> None:
         for sizes in (self.sizes, self.tiny):
-            if len({size for size in sizes if size > 0}) < LEAST_SIZES or any(size < 0 for size in sizes):
-                raise ValueError(f"{self.name}: at least {LEAST_SIZES} different sizes over 0 are needed")
+            if len({size for size in sizes if size > 0}) < MIN_SIZES or any(size < 0 for size in sizes):
+                raise ValueError(f"{self.name}: at least {MIN_SIZES} different sizes over 0 are needed")
         names = [quantity.name for quantity in self.quantities]
         if not names or len(set(names)) < len(names):
             raise ValueError(f"{self.name}: its quantities need names of their own")
--- a/hallproxy/lab/capacity/relay.py
+++ b/hallproxy/lab/capacity/relay.py
@@ -41,7 +41,7 @@
 
     def __init__(self, run: Run, stack: ExitStack, name: str, upstream: Iterable[str], gather: int) -> None:
         named = ", ".join(f'"{at}"' for at in upstream)
-        path = run.where / f"{name}.toml"
+        path = run.scratch_dir / f"{name}.toml"
         path.write_text(
             f'name = "{name}"\nlisten = "127.0.0.1:0"\nupstream = [{named}]\ngather_ms = {gather}\n', "utf-8"
         )
@@ -52,7 +52,7 @@
 
     def ready(self) -> Self:
         """It listens and has heard the log."""
-        self.address = self.program.listens()
+        self.address = self.program.listening_address()
         until(lambda: bool(self.status().get("current")), f"{self.name}: current")
         self._before = self.status()
         return self
@@ -131,7 +131,7 @@
     count = int(size)
     with ExitStack() as stack:
         log = log_of(run, stack)
-        relay = Relay(run, stack, "top", [log.told["address"]], gather_of(run)).ready()
+        relay = Relay(run, stack, "top", [log.first_message["address"]], gather_of(run)).ready()
         most = 4 if run.tiny else RELAY_HOLLOW
         parts = 1 if run.tiny else RELAY_PROCESSES
         asking = Followers(run, stack, [relay.address], count, most, "--gzip", parts=parts)
@@ -175,7 +175,7 @@
     parts = below if run.tiny else 2 * below  # of 100 hollow gateways each
     with ExitStack() as stack:
         log = log_of(run, stack)
-        top = Relay(run, stack, "top", [log.told["address"]], gather_of(run)).ready()
+        top = Relay(run, stack, "top", [log.first_message["address"]], gather_of(run)).ready()
         relays = ready([Relay(run, stack, f"below-{n}", [top.address], 0) for n in range(below)])
         addresses = [relay.address for relay in relays]
         asking = Followers(run, stack, addresses, each * below, each * below, "--gzip", parts=parts)
@@ -232,7 +232,7 @@
     count, many = round(2 * RATE * seconds(run)), 12 if run.tiny else CHANGEOVER_FOLLOWERS
     with ExitStack() as stack:
         log = log_of(run, stack)
-        above = [log.told["address"]]
+        above = [log.first_message["address"]]
         relays = ready([Relay(run, stack, f"r-{n}", above, gather_of(run)) for n in range(int(size))])
         addresses = ",".join(relay.address for relay in relays)
         parts = 1 if run.tiny else RELAY_PROCESSES
@@ -294,8 +294,8 @@
     listed, count = MEMBERS_TINY if run.tiny else MEMBERS, round(RATE * seconds(run))
     with ExitStack() as stack:
         log = log_of(run, stack)
-        relay = Relay(run, stack, "top", [log.told["address"]], int(size)).ready()
-        path = run.where / "change-logs.toml"
+        relay = Relay(run, stack, "top", [log.first_message["address"]], int(size)).ready()
+        path = run.scratch_dir / "change-logs.toml"
         path.write_text(f'addresses = ["{relay.address}"]\n', "utf-8")
         real = stack.enter_context(gateway(run, log, listed, "--change-logs", str(path)))
         one = stack.enter_context(hollow(relay.address, run, 1, listed, "--gzip")).ready()
--- a/hallproxy/lab/capacity/second.py
+++ b/hallproxy/lab/capacity/second.py
@@ -85,7 +85,7 @@
     held = {f"many-1.{n}-py3-none-any.whl": b"%d" % n for n in range(int(size))}
     many = 20 if run.tiny else 600
     text = upstream({"many": index_of("many", held)})
-    with front_process(Path(run.where), text) as (port, pid):
+    with front_process(Path(run.scratch_dir), text) as (port, pid):
         client = Kept(port)
         first = client.ask("/simple/many/")
         for _ in range(3 if run.tiny else 50):
@@ -113,7 +113,7 @@
     many = 20 if run.tiny else 600 if size <= 100 else 100
     text = upstream({name: body, "many": index_of("many", {name: body})})
     before = Stand.asked
-    with front_process(Path(run.where), text) as (port, pid):
+    with front_process(Path(run.scratch_dir), text) as (port, pid):
         client = Kept(port, PACE if size <= 100 else 25.0)
         url = json.loads(client.ask("/simple/many/"))["files"][0]["url"]
         for _ in range(3 if run.tiny else 25):
@@ -145,7 +145,7 @@
         held = {f"p{n}-1.{k}-py3-none-any.whl": b"%d.%d" % (n, k) for k in range(INDEX_FILES)}
         bodies[f"p{n}"] = index_of(f"p{n}", held)
     text = upstream(bodies)
-    with front_process(Path(run.where), text) as (port, pid):
+    with front_process(Path(run.scratch_dir), text) as (port, pid):
         client = Kept(port, 500.0)
         began, short = processor_s(pid), 0
         for n in range(many):
--- a/hallproxy/lab/capacity/serving.py
+++ b/hallproxy/lab/capacity/serving.py
@@ -16,7 +16,7 @@
 
 
 def _page(address: str) -> fleet.Json:
-    return fleet.page([fleet.whole(process.few(address))])
+    return fleet.page([fleet.full_list(process.small_list(address))])
 
 
 @measurement(
@@ -40,11 +40,11 @@
         await client.closed_loop(rows[first:], AT_ONCE)
         spent = process.processor_s(pid) - before
         client.close()
-        client.counted.check(len(rows), length)
+        client.counts.check(len(rows), length)
         return spent
 
     with process.standins(_page, length) as (standins, page):
-        with process.gateway(run.where, page, standins.log, process.one_zone()) as made:
+        with process.gateway(run.scratch_dir, page, standins.log, process.one_zone_settings()) as made:
             spent = asyncio.run(ask(made.port, made.pid))
         if standins.counts.asked != len(rows):
             raise MeasurementError(f"the store was asked {standins.counts.asked} of {len(rows)} times")
@@ -70,11 +70,11 @@
         took = await client.open_loop(rows[first:], size)
         spent = process.processor_s(pid) - before
         client.close()
-        client.counted.check(len(rows), KB)
+        client.counts.check(len(rows), KB)
         return spent, took
 
     with process.standins(_page, KB) as (standins, page):
-        with process.gateway(run.where, page, standins.log, process.one_zone()) as made:
+        with process.gateway(run.scratch_dir, page, standins.log, process.one_zone_settings()) as made:
             spent, took = asyncio.run(ask(made.port, made.pid))
         if standins.counts.asked != len(rows):
             raise MeasurementError(f"the store was asked {standins.counts.asked} of {len(rows)} times")
--- a/hallproxy/lab/capacity/size.py
+++ b/hallproxy/lab/capacity/size.py
@@ -16,9 +16,9 @@
     bits: float = 43e12
     objects: float = 3.9e9
     purges: float = 180.0
-    purge_in: float = 2.4
+    purge_deadline: float = 2.4
     changes_a_day: float = 4_300.0
-    change_in: float = 4.0
+    change_deadline: float = 4.0
     control_core: float = 0.017
     control_mb: float = 256.0
     control_bytes: float = 13_000.0
@@ -27,7 +27,7 @@
     restarted_a_day: float = 580.0
     racks_a_week: float = 1.0
     zones_a_year: float = 2.0
-    cut: float = 3_600.0
+    partition: float = 3_600.0
 
     @property
     def site(self) -> float:
@@ -47,7 +47,7 @@
         return self.gateways / self.regions
 
     @property
-    def asked(self) -> float:
+    def gateway_rate(self) -> float:
         """Requests a second at one gateway."""
         return self.requests / self.gateways
 
@@ -72,7 +72,7 @@
         return self.gateways / self.control_machines
 
     @property
-    def members_told(self) -> float:
+    def list_changes(self) -> float:
         """Changes of the list a second, if every machine that goes were a store: gone, new, ready."""
         return 3 * (self.failed_a_day + self.restarted_a_day) / 86_400
 
--- a/hallproxy/lab/capacity/starts.py
+++ b/hallproxy/lab/capacity/starts.py
@@ -13,15 +13,15 @@
 
 def _started(count: int, members: int, run: Run) -> tuple[list[process.Gateway], float]:
     """So many gateways at once, all ready, all with the first poll's news; bytes of its answer."""
-    listed = fleet.lines(members, run.random, address="127.0.0.1:9")
+    listed = fleet.endpoint_lines(members, run.random, address="127.0.0.1:9")
     drained = next(line for line in listed if line["machineType"] == "std")
-    events = [fleet.whole(listed), fleet.change(drained, lifecycle="Terminating")]
+    events = [fleet.full_list(listed), fleet.list_change(drained, lifecycle="Terminating")]
     known = fleet.page(events[:1])
     made: list[process.Gateway] = []
     with process.standins(lambda _: fleet.page(events)) as (standins, _):
         try:
             for n in range(count):
-                where = run.where / str(n)
+                where = run.scratch_dir / str(n)
                 where.mkdir()
                 made.append(process.Gateway(where, f"n{n}", known, standins.log, fleet.settings_json()))
             end = time.perf_counter() + process.READY_IN
@@ -32,7 +32,7 @@
                     raise MeasurementError(f"{len(waiting)} of {count} gateways aren't ready")
             for one in made:
                 one.ready()
-                one.core_s, one.most_kb = one.processor_s(), one.memory_kb("VmHWM")
+                one.core_s, one.peak_kb = one.processor_s(), one.memory_kb("VmHWM")
             end = time.perf_counter() + HEARD_IN
             while standins.counts.heard < 2:
                 if time.perf_counter() > end:
@@ -61,7 +61,7 @@
         "core_ms": one.core_s * 1e3,
         "known_kb": one.known_kb,
         "poll_kb": poll / 1e3,
-        "peak_mb": one.most_kb / 1e3,
+        "peak_mb": one.peak_kb / 1e3,
     }
 
 
--- a/hallproxy/lab/capacity/store_rows.py
+++ b/hallproxy/lab/capacity/store_rows.py
@@ -14,8 +14,8 @@
 
 def _opened(size: Size, opened: Slope) -> Worked:
     us = opened.at(opened.fit.largest if opened.fit else 0)
-    text = f"{num(size.asked)} requests/s × {num(us)} µs, at the most connections measured"
-    return Worked(size.asked * us / 1e6, text)
+    text = f"{num(size.gateway_rate)} requests/s × {num(us)} µs, at the most connections measured"
+    return Worked(size.gateway_rate * us / 1e6, text)
 
 
 def _held(size: Size, memory: Slope) -> Worked:
@@ -46,25 +46,25 @@
             told(
                 SIZE.gateways,
                 f"{num(SIZE.gateways)} gateways × 1; a gateway's asks it "
-                f"{num(SIZE.asked / SIZE.stores)} times a second, and idle ones are kept "
+                f"{num(SIZE.gateway_rate / SIZE.stores)} times a second, and idle ones are kept "
                 f"{num(program.BOUNDS.idle_timeout / program.SECOND)} s",
             ),
         ),
-        program.LINKED,
+        program.CONNECTION_POOL,
     ),
     Row(
         "store",
         "state",
         "the same, were only its own zone's gateways to ask it",
         Figure("", told(SIZE.zone_gateways, f"{num(SIZE.gateways)} ÷ {num(SIZE.zones)} zones")),
-        program.LINKED,
+        program.CONNECTION_POOL,
     ),
     Row(
         "store",
         "state",
         "a parent's, asked by its region's gateways",
         Figure("", told(SIZE.region_gateways, f"{num(SIZE.gateways)} ÷ {num(SIZE.regions)} regions")),
-        program.LINKED,
+        program.CONNECTION_POOL,
     ),
     Row(
         "store",
@@ -86,21 +86,21 @@
         "processor",
         "a gateway with all the connections it may hold, idle",
         Figure("cores", _idle, (Need("stores.connections", "core_us"),)),
-        program.LINKED,
+        program.CONNECTION_POOL,
     ),
     Row(
         "store",
         "processor",
         "opening a connection and closing another for it, as each request may where they are too few",
         Figure("cores", _opened, (Need("stores.connections", "open_us"),), 1.0),
-        program.LINKED,
+        program.CONNECTION_POOL,
     ),
     Row(
         "store",
         "memory",
         "a gateway's connections, as many as it may hold",
         Figure("MB", _held, (Need("stores.connections", "memory_kb"),)),
-        program.LINKED,
+        program.CONNECTION_POOL,
     ),
     Row(
         "store",
--- a/hallproxy/lab/capacity/stores.py
+++ b/hallproxy/lab/capacity/stores.py
@@ -51,7 +51,7 @@
             rows = [run.random.getrandbits(63) for _ in range(many)]
             for again in (0, 1):
                 before, accepted = made.processor_s(), counts.accepted
-                await asyncio.gather(*(client.one(row, n) for n, row in enumerate(rows)))
+                await asyncio.gather(*(client.request(row, n) for n, row in enumerate(rows)))
                 if nth:  # the first pair fills the program's own tables as well
                     spent[again] += made.processor_s() - before
                     opened[again] += counts.accepted - accepted
@@ -64,18 +64,18 @@
         await asyncio.sleep(0.2 if run.tiny else IDLE_FOR)
         idle = (made.processor_s() - before) / (time.perf_counter() - began)
         await _settled(counts, many)
-        client.counted.check(2 * rounds * many, length)
+        client.counts.check(2 * rounds * many, length)
         client.close()
         if first != many or not opened[1] < opened[0]:
             raise MeasurementError(f"{first}, then {opened} connections were opened for {many} at once")
         return (spent[0] - spent[1]) / (opened[0] - opened[1]) * 1e6, idle * 1e6
 
     def page(address: str) -> fleet.Json:
-        return fleet.page([fleet.whole(process.few(address, CACHES))])
+        return fleet.page([fleet.full_list(process.small_list(address, CACHES))])
 
     with process.standins(page, length, many, dated=False) as (standins, told):
-        settings, limit = process.one_zone(), sockets_for(many)
-        with process.gateway(run.where, told, standins.log, settings, limit) as made:
+        settings, limit = process.one_zone_settings(), sockets_for(many)
+        with process.gateway(run.scratch_dir, told, standins.log, settings, limit) as made:
             opening, idle = asyncio.run(ask(made, standins.counts))
             resident = made.memory_kb()
     return {"memory_kb": resident, "core_us": idle, "open_us": opening}
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -472,7 +472,9 @@
 
 
 def test_each_size_runs_in_a_process_of_its_own(scripted: Callable[..., Path], tmp_path: Path) -> None:
-    noted = scripted("assert not list(run.where.iterdir()); (run.where / 'x').touch(); return {'y': size}")
+    noted = scripted(
+        "assert not list(run.scratch_dir.iterdir()); (run.scratch_dir / 'x').touch(); return {'y': size}"
+    )
     status, _, lines = run_tiny(tmp_path / "out.jsonl")
     assert status == 0 and [(one.x, one.values) for one in lines] == [(x, {"y": x}) for x in (1, 2, 3, 4)]
     assert len(set(noted.read_text().split())) == 4
@@ -510,7 +512,7 @@
         ("return {'y': float('nan')}", "y is nan"), ("return {'y': 'much'}", "y is much"),
         ("return {'y': True}", "y is True"), ("os._exit(9)", "ended with status 9 and no outcome"),
         ("return 1 / 0", "ZeroDivisionError: division by zero"),
-        ("raise registry.MeasurementError(f'{run.where}/log:\\n\\tbroke')",
+        ("raise registry.MeasurementError(f'{run.scratch_dir}/log:\\n\\tbroke')",
          "MeasurementError: scratch/where/log: broke"),
         ("raise registry.MeasurementError('x' * 1000)", "MeasurementError: " + "x" * 282),
         (f"{CHILD}; return 1 / 0", "ZeroDivisionError: division by zero; left 1 processes running"),
--- a/tests/lab/test_capacity_control.py
+++ b/tests/lab/test_capacity_control.py
@@ -51,7 +51,7 @@
 
 
 def follow(started: Callable[..., Child], log: Child, count: int, *words: object) -> Child:
-    at, listed = log.told["address"], ("--members", LISTED, "--seed", SEED)
+    at, listed = log.first_message["address"], ("--members", LISTED, "--seed", SEED)
     return started("hollow", "--at", at, "--gateways", count, *listed, *words)
 
 
@@ -59,7 +59,7 @@
     """One connection to a log."""
 
     def __init__(self, log: Child) -> None:
-        host, port = log.told["address"].split(":")
+        host, port = log.first_message["address"].split(":")
         self.sock = socket.create_connection((host, int(port)), timeout=10)
         self.file = self.sock.makefile("rb")
 
@@ -98,7 +98,7 @@
     until(lambda: log.ask("report")["purges"] == 5)
     told = asker.ask(1)[1]
     assert told["seq"] == 6 and [e["seq"] for e in told["results"]] == [2, 3, 4, 5, 6]
-    wanted = fleet.Purged(SEED)
+    wanted = fleet.PurgeSequence(SEED)
     assert [int(e["invalidate"]["object"], 16) for e in told["results"]] == [wanted[n] for n in range(5)]
     times = [e["invalidate"]["time"] for e in told["results"]]
     assert times == sorted(times) and before <= times[0] and times[-1] <= time.time_ns() // 1_000_000
@@ -193,7 +193,7 @@
 def test_followers_hold_every_purge_once(started: Callable[..., Child], words: tuple[object, ...]) -> None:
     log = log_of(started)
     followers = follow(started, log, 5, *words)
-    assert followers.told["ready"] == 5
+    assert followers.first_message["ready"] == 5
     began = log.ask("report")
     assert began["followers"] == 5
     log.command("purge", rate=400, count=60)
@@ -212,32 +212,32 @@
 
 
 def test_counting_finds_what_is_lost_twice_or_never_made() -> None:
-    purged = fleet.Purged(SEED)
+    purged = fleet.PurgeSequence(SEED)
     cases = (([0, 2], "lost"), ([0, 1, 1], "twice"), ([0, None, 1], "foreign"), ([0], "to 1 of 2"))
     for order, word in cases:
         tally, follower = hollow.Tally(purged), hollow.Follower()
         for place in order:
-            tally.took(follower, 1 if place is None else purged[place], 0)
+            tally.record_purge(follower, 1 if place is None else purged[place], 0)
         with pytest.raises(MeasurementError, match=word):
             control.all_held(tally.report([follower]), 1, 2)
     tally, pair = hollow.Tally(purged), [hollow.Follower(), hollow.Follower()]
     for one in pair:
         for place in range(2):
-            tally.took(one, purged[place], 0)
+            tally.record_purge(one, purged[place], 0)
     control.all_held(tally.report(pair), 2, 2)
 
 
 def test_a_hollow_gateway_is_a_gateway_inside() -> None:
     """The list reaches its module, and a purge its tables, through the reducer."""
-    tally = hollow.Tally(fleet.Purged(SEED))
-    one, other = hollow.hollows(2, LISTED, 0, tally)
+    tally = hollow.Tally(fleet.PurgeSequence(SEED))
+    one, other = hollow.hollow_gateways(2, LISTED, 0, tally)
     assert len(one.state.endpoints.by_id) == LISTED and one.state.endpoints is not other.state.endpoints
     assert one.state.settings is other.state.settings
-    obj = fleet.Purged(SEED)[0]
+    obj = fleet.PurgeSequence(SEED)[0]
     now = one.now()
     one.dispatch(PurgeNotified(now, obj, 0, now, now))
     assert one.state.purges.purged_at(obj, 0) == now and obj in one.state.router.purges.objects
-    assert other.state.purges.purged_at(obj, 0) == 0 and (one.next, other.next) == (1, 0)
+    assert other.state.purges.purged_at(obj, 0) == 0 and (one.next_index, other.next_index) == (1, 0)
 
 
 def alive(pid: int) -> bool:
@@ -255,14 +255,14 @@
         "import pathlib, time\n"
         "from hallproxy.lab.capacity.children import Child, Program\n"
         "log = Child('changelog', '--members', 20).ready()\n"
-        "at = log.told['address']\n"
+        "at = log.first_message['address']\n"
         "words = '--at', at, '--gateways', 3, '--members', 20\n"
         "made = [Child('hollow', *words), Child('hollow', *words, '--light')]\n"
         "for one in made: one.ready()\n"
         'text = f\'name = "r"\\nlisten = "127.0.0.1:0"\\nupstream = ["{at}"]\\n\'\n'
         f"pathlib.Path({str(path)!r}).write_text(text)\n"
         f"made.append(Program('relay', {str(path)!r}))\n"
-        "made[-1].listens()\n"
+        "made[-1].listening_address()\n"
         "log.command('purge', rate=200, count=5000)\n"
         "print(log.pid, *(one.pid for one in made), flush=True)\n"
         "time.sleep(60)\n"
@@ -330,7 +330,7 @@
     run = Run(SEED, True, Random(SEED), tmp_path)
     with ExitStack() as stack:
         log = relay.log_of(run, stack)
-        above = [log.told["address"]]
+        above = [log.first_message["address"]]
         relays = relay.ready([relay.Relay(run, stack, f"r-{n}", above, 20) for n in range(2)])
         asking = logs.Followers(run, stack, [r.address for r in relays], 6, 4, "--gzip", parts=2)
         assert [(size, real) for _, size, real in asking.children] == [
--- a/tests/lab/test_capacity_measures.py
+++ b/tests/lab/test_capacity_measures.py
@@ -18,7 +18,7 @@
 from hallproxy.decisions.valuation import COUNTS_MAX
 from hallproxy.interface import EndpointState
 from hallproxy.lab.capacity import decisions, fleet, lists, process, purges, second, serving, stores
-from hallproxy.lab.capacity.client import Client, Counted
+from hallproxy.lab.capacity.client import Client, ResponseCounts
 from hallproxy.lab.capacity.registry import MeasurementError, Run
 from hallproxy.run.limits import RESERVED_DESCRIPTORS
 from hallproxy.state.purges import MAX_PURGES, PurgeTable
@@ -37,9 +37,13 @@
     assert len(set(settings.zone_hub)) == 17 and len(settings.zone_hub) == 51
     assert sum(settings.gateways_by_zone) == settings.gateway_count == 7_100
     assert max(settings.gateways_by_zone) - min(settings.gateways_by_zone) == 1
-    made = [decode_endpoint(line, settings) for line in fleet.lines(members, random.Random(1))]
+    made = [decode_endpoint(line, settings) for line in fleet.endpoint_lines(members, random.Random(1))]
     kinds = Counter(member.kind for member, _ in made)
-    assert kinds == {0: members - 1 - fleet.parents_of(members), 1: fleet.parents_of(members), 2: 1}
+    assert kinds == {
+        0: members - 1 - fleet.default_parent_count(members),
+        1: fleet.default_parent_count(members),
+        2: 1,
+    }
     assert {m.zone for m, _ in made if m.kind == 0} == set(range(51))
     assert {m.zone for m, _ in made if m.kind == 1} == set(settings.zone_hub)
     spread = Counter(m.zone for m, _ in made if m.kind == 0)
@@ -49,27 +53,27 @@
 
 
 def test_the_list_is_the_same_for_a_seed_and_another_for_another_one() -> None:
-    assert fleet.lines(40, random.Random(1)) == fleet.lines(40, random.Random(1))
-    assert fleet.lines(40, random.Random(1)) != fleet.lines(40, random.Random(2))
+    assert fleet.endpoint_lines(40, random.Random(1)) == fleet.endpoint_lines(40, random.Random(1))
+    assert fleet.endpoint_lines(40, random.Random(1)) != fleet.endpoint_lines(40, random.Random(2))
 
 
 @pytest.mark.parametrize("zones, hubs", [(3, 1), (12, 4), (24, 8), (51, 17)])
 def test_a_region_has_three_zones(zones: int, hubs: int) -> None:
-    assert fleet.hubs_of(zones) == [3 * n for n in range(hubs)]
-    assert Counter(fleet.settings(zones).zone_hub) == dict.fromkeys(fleet.hubs_of(zones), 3)
+    assert fleet.hub_zones(zones) == [3 * n for n in range(hubs)]
+    assert Counter(fleet.settings(zones).zone_hub) == dict.fromkeys(fleet.hub_zones(zones), 3)
 
 
 @pytest.mark.parametrize("members, parents", [(1, 0), (4, 3), (4, -1)])
 def test_a_list_without_room_for_a_cache_is_turned_away(members: int, parents: int) -> None:
     with pytest.raises(ValueError, match="parents"):
-        fleet.lines(members, random.Random(1), parents=parents)
+        fleet.endpoint_lines(members, random.Random(1), parents=parents)
 
 
 def test_pages_are_numbered_and_a_gap_is_not_applied() -> None:
-    listed = fleet.lines(8, random.Random(1))
+    listed = fleet.endpoint_lines(8, random.Random(1))
     gateway = lists.Gateway(1)
-    gateway.hear(json.dumps(fleet.page([fleet.whole(listed)])).encode())
-    drains = fleet.change(listed[0], lifecycle="Terminating")
+    gateway.hear(json.dumps(fleet.page([fleet.full_list(listed)])).encode())
+    drains = fleet.list_change(listed[0], lifecycle="Terminating")
     with pytest.raises(ChangeLogError, match="gap"):
         gateway.hear(json.dumps(fleet.page([drains], 3)).encode())
     assert gateway.ready() == 8
@@ -127,8 +131,13 @@
 
 
 def test_the_client_counts_what_is_short_wrong_or_missing() -> None:
-    Counted(2, 2, 20, 0).check(2, 10)
-    for wrong in (Counted(1, 1, 10, 0), Counted(2, 1, 10, 0), Counted(2, 2, 19, 0), Counted(2, 2, 20, 1)):
+    ResponseCounts(2, 2, 20, 0).check(2, 10)
+    for wrong in (
+        ResponseCounts(1, 1, 10, 0),
+        ResponseCounts(2, 1, 10, 0),
+        ResponseCounts(2, 2, 19, 0),
+        ResponseCounts(2, 2, 20, 1),
+    ):
         with pytest.raises(MeasurementError):
             wrong.check(2, 10)
 
@@ -156,17 +165,17 @@
 @pytest.mark.parametrize(
     "code, body, counted",
     [
-        (frames.SERVED, process.body_of(5, 100), Counted(3, 3, 300, 0)),
-        (frames.SERVED, process.body_of(6, 100), Counted(3, 3, 300, 3)),
-        (frames.SERVED, process.body_of(5, 99), Counted(3, 3, 297, 3)),
-        (frames.REJECTED, b"", Counted(3, 0, 0, 0)),
+        (frames.SERVED, process.object_body(5, 100), ResponseCounts(3, 3, 300, 0)),
+        (frames.SERVED, process.object_body(6, 100), ResponseCounts(3, 3, 300, 3)),
+        (frames.SERVED, process.object_body(5, 99), ResponseCounts(3, 3, 297, 3)),
+        (frames.REJECTED, b"", ResponseCounts(3, 0, 0, 0)),
     ],
 )
-def test_the_client_looks_at_every_answer(code: int, body: bytes, counted: Counted) -> None:
+def test_the_client_looks_at_every_answer(code: int, body: bytes, counted: ResponseCounts) -> None:
     def answer(stream: int) -> bytes:
         return b"".join(frames.encode_frame(frames.RESPONSE, stream, bytes((code, 0)), body))
 
-    async def ask() -> Counted:
+    async def ask() -> ResponseCounts:
         running = asyncio.get_running_loop()
         server = await running.create_server(lambda: Front(answer), "127.0.0.1", 0)
         client = Client(server.sockets[0].getsockname()[1], 100, 2)
@@ -174,14 +183,16 @@
         await client.closed_loop([5, 5, 5], 2)
         client.close()
         server.close()
-        return client.counted
+        return client.counts
 
     assert asyncio.run(ask()) == counted
 
 
 def test_a_store_s_body_belongs_to_its_object() -> None:
-    assert process.body_of(1, 20) == (b"\0" * 7 + b"\1") * 2 + b"\0" * 4
-    assert len(process.body_of(9, 239_616)) == 239_616 and process.body_of(9, 8) != process.body_of(10, 8)
+    assert process.object_body(1, 20) == (b"\0" * 7 + b"\1") * 2 + b"\0" * 4
+    assert len(process.object_body(9, 239_616)) == 239_616 and process.object_body(
+        9, 8
+    ) != process.object_body(10, 8)
 
 
 @pytest.mark.parametrize("links", [8, 16, 64, 256])
@@ -192,18 +203,18 @@
 
 def test_a_request_through_a_real_gateway_reaches_the_store_once(tmp_path: Path) -> None:
     def page(address: str) -> fleet.Json:
-        return fleet.page([fleet.whole(process.few(address))])
+        return fleet.page([fleet.full_list(process.small_list(address))])
 
-    async def ask(port: int) -> Counted:
+    async def ask(port: int) -> ResponseCounts:
         client = Client(port, 1_000)
         await client.open()
         await client.closed_loop(range(1, 21), serving.AT_ONCE)
         client.close()
-        return client.counted
+        return client.counts
 
     with (
         process.standins(page, 1_000) as (standins, known),
-        process.gateway(tmp_path, known, standins.log, process.one_zone()) as made,
+        process.gateway(tmp_path, known, standins.log, process.one_zone_settings()) as made,
     ):
         asyncio.run(ask(made.port)).check(20, 1_000)
         assert standins.counts.asked == 20 and standins.counts.polls >= 1
@@ -214,7 +225,7 @@
 def test_a_gateway_that_can_t_start_is_no_measurement(tmp_path: Path) -> None:
     with (
         pytest.raises(MeasurementError, match="the gateway ended"),
-        process.gateway(tmp_path, {"seq": 0, "results": []}, "nowhere", process.one_zone()),
+        process.gateway(tmp_path, {"seq": 0, "results": []}, "nowhere", process.one_zone_settings()),
     ):
         pass
 
