--- a/hallproxy/lab/capacity/__init__.py
+++ b/hallproxy/lab/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""Capacity planning: what each role costs at the operators' size, worked out from slopes that were measured.
+"""Capacity planning: the cost of each role at the operators' size, computed from measured slopes.
 
-`registry` holds the measurements, `catalogue` lists their modules; docs/CAPACITY.md is the page.
+`registry` defines measurements, `catalogue` lists their modules; docs/CAPACITY.md is the page.
 """
--- a/hallproxy/lab/capacity/__main__.py
+++ b/hallproxy/lab/capacity/__main__.py
@@ -3,7 +3,7 @@
     python -m hallproxy.lab.capacity run --out docs/capacity/results.jsonl
     python -m hallproxy.lab.capacity render
 
-Figures that go on the page are measured while nothing else runs on the machine; `load` in each line tells.
+Measure figures for the page while nothing else runs on the machine; `load` in each line shows whether it did.
 """
 
 import signal
@@ -29,32 +29,38 @@
     pass
 
 
-def _chosen(names: tuple[str, ...]) -> list[Measurement]:
-    there = catalogue()
-    unknown = [name for name in names if name not in there]
+def _select(names: tuple[str, ...]) -> list[Measurement]:
+    known = catalogue()
+    unknown = [name for name in names if name not in known]
     if unknown:
-        raise click.UsageError(f"there is no measurement {', '.join(unknown)}; `list` names them")
-    return [there[name] for name in names] if names else list(there.values())
+        raise click.UsageError(f"unknown measurement: {', '.join(unknown)}; `list` shows all")
+    return [known[name] for name in names] if names else list(known.values())
 
 
-@main.command("list", help="Names of all measurements, their sizes, and the longest they may take.")
+@main.command("list", help="List all measurements, their sizes, and their time limits.")
 def names() -> None:
     for one in catalogue().values():
         sizes = ", ".join(f"{size:g}" for size in one.sizes)
-        longest = one.minutes * len(one.sizes)
-        click.echo(f"{one.name}: {one.title}; by {one.x} {sizes}; {longest:g} min at most")
+        max_minutes = one.minutes * len(one.sizes)
+        click.echo(f"{one.name}: {one.title}; by {one.x} {sizes}; {max_minutes:g} min at most")
 
 
 @main.command(help="Measure NAMES, or everything, one size at a time, and append a JSON line for each.")
 @click.argument("names", nargs=-1)
-@click.option("--tiny", is_flag=True, help="Sizes that only show that it works.")
+@click.option("--tiny", is_flag=True, help="Use small sizes that only show that it works.")
 @click.option("--repeats", type=click.IntRange(1), default=3, show_default=True)
-@click.option("--seed", type=int, default=1, show_default=True, help="One more for each repeat.")
-@click.option("--out", type=FILE, required=True, help="The file that lines are appended to.")
+@click.option(
+    "--seed",
+    type=int,
+    default=1,
+    show_default=True,
+    help="Seed of the first repeat; each further one adds 1.",
+)
+@click.option("--out", type=FILE, required=True, help="The file to append lines to.")
 def run(names: tuple[str, ...], tiny: bool, repeats: int, seed: int, out: Path) -> None:
-    chosen = _chosen(names)
+    chosen = _select(names)
     if tiny and out.resolve() == RESULTS:
-        raise click.UsageError(f"{out} takes no tiny runs")
+        raise click.UsageError(f"{out} takes no results of tiny runs")
     failed = runner.run(chosen, runner.Plan(repeats, seed, tiny), out, click.echo)
     for result in failed:
         click.echo(f"failed: {result.measurement} at {result.x:g}: {result.failed}", err=True)
@@ -69,18 +75,18 @@
         raise click.ClickException(str(error)) from None
 
 
-@main.command(help="Print the table of slopes of a results file, also of a tiny run.")
+@main.command(help="Print the table of slopes of a results file, including tiny runs.")
 @click.argument("file", type=FILE)
 def fit(file: Path) -> None:
     for line in page.slopes_table(_read(file, tiny=True)):
         click.echo(line)
 
 
-def _where(command: click.decorators.FC) -> click.decorators.FC:
+def _file_options(command: click.decorators.FC) -> click.decorators.FC:
     for option in (
-        click.option("--tiny", is_flag=True, help="Also take lines of tiny runs."),
+        click.option("--tiny", is_flag=True, help="Accept lines of tiny runs."),
         click.option("--plots", "directory", type=click.Path(path_type=Path, file_okay=False),
-                     default=RESULTS.parent, help="Where the plots are; docs/capacity."),
+                     default=RESULTS.parent, help="Directory of the plots; docs/capacity."),
         click.option("--page", "path", type=FILE, default=PAGE, help="docs/CAPACITY.md"),
         click.option("--results", "file", type=FILE, default=RESULTS, help="docs/capacity/results.jsonl"),
     ):  # fmt: skip
@@ -88,8 +94,8 @@
     return command
 
 
-@main.command(help="Write the page's generated blocks and its plots anew from the results.")
-@_where
+@main.command(help="Regenerate the page's generated blocks and its plots from the results.")
+@_file_options
 def render(file: Path, path: Path, directory: Path, tiny: bool) -> None:
     slopes = _read(file, tiny)
     try:
@@ -101,22 +107,24 @@
         click.echo(f"drawn: {name}")
 
 
-@main.command(help="Tell where the page or a plot is not what the results give; status 1 if anywhere.")
-@_where
+@main.command(
+    help="Report where the page or a plot differs from what the results give; exit with 1 if any does."
+)
+@_file_options
 def check(file: Path, path: Path, directory: Path, tiny: bool) -> None:
     slopes = _read(file, tiny)
     try:
-        wrong = page.differences(path.read_text("utf-8"), slopes) + plots.differences(directory, slopes)
+        problems = page.differences(path.read_text("utf-8"), slopes) + plots.differences(directory, slopes)
     except page.PageError as error:
-        wrong = [str(error)]
-    for line in wrong:
+        problems = [str(error)]
+    for line in problems:
         click.echo(line, err=True)
-    if wrong:
+    if problems:
         sys.exit(1)
 
 
 def _stop(signum: int, frame: FrameType | None) -> None:
-    """As an exception, so that the size that is being measured is ended on the way out."""
+    """Raise SystemExit, so that the size being measured is killed while the stack unwinds."""
     sys.exit(128 + signum)
 
 
--- a/hallproxy/lab/capacity/catalogue.py
+++ b/hallproxy/lab/capacity/catalogue.py
@@ -1,4 +1,4 @@
-"""Which modules hold measurements. A module that isn't in this list is not run."""
+"""The modules that define measurements. A module that isn't listed here is not run."""
 
 from importlib import import_module
 
@@ -17,13 +17,13 @@
     "logs",
     "relay",
 )
-"""Names of modules beside this one, in the order of the page; whoever writes one adds its line."""
+"""Modules of this package in the order of the page; add a line for each new module."""
 
 
 def catalogue() -> dict[str, Measurement]:
-    """All measurements by name, in the order of `MODULES`, whichever of them was imported first."""
-    places = {f"hallproxy.lab.capacity.{module}": place for place, module in enumerate(MODULES)}
-    for name in places:
+    """All measurements by name, in the order of `MODULES` whatever the order of imports."""
+    order = {f"hallproxy.lab.capacity.{module}": position for position, module in enumerate(MODULES)}
+    for name in order:
         import_module(name)
-    ranked = sorted(register.values(), key=lambda one: places.get(one.body.__module__, len(places)))
-    return {one.name: one for one in ranked}
+    ordered = sorted(register.values(), key=lambda one: order.get(one.body.__module__, len(order)))
+    return {one.name: one for one in ordered}
--- a/hallproxy/lab/capacity/children.py
+++ b/hallproxy/lab/capacity/children.py
@@ -1,7 +1,7 @@
-"""Processes that measurements start, and how they are spoken to: a JSON object a line, both ways.
+"""Child processes of measurements, and their protocol: one JSON object per line in both directions.
 
-A child ends when its standard input does, so it goes with whoever started it, however that ended; and it
-ends by itself once its time is over.
+A child exits at the end of its standard input, so it never outlives the process that started it, however that
+ended. It also exits by itself after its time limit.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 ROOT = Path(__file__).parents[3]
 MB = 1024 * 1024
-ANSWER_IN = 20.0  # s for one answer of a child
-END_IN = 5.0  # s from the end of its input to its own end
-LINES_MOST = 200  # of standard error that are kept
-FAULTS = ("Traceback", "fault on ")  # as Python and the gateway's loop begin such a line
-DESCRIPTORS_KEPT = 64  # of the process's limit, for all that is no connection
+ANSWER_TIMEOUT = 20.0  # s for one answer of a child
+EXIT_TIMEOUT = 5.0  # s from the end of its input to its exit
+MAX_KEPT_LINES = 200  # of standard error
+FAULTS = ("Traceback", "fault on ")  # how Python and the gateway's loop begin a line that reports an error
+RESERVED_DESCRIPTORS = 64  # of the process's limit, for everything but connections
 
 Command = dict[str, Any]
 
@@ -43,36 +43,36 @@
 
 
 async def serve_commands(do: Callable[[Command], Command | None], seconds: float) -> None:
-    """Carry out each line of standard input and tell what comes of it, until it ends or the time is over."""
+    """Run the command in each line of standard input and write its result, until its end or the timeout."""
     reader = asyncio.StreamReader()
     running = asyncio.get_running_loop()
     await running.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     try:
         async with asyncio.timeout(seconds):
             while line := await reader.readline():
-                said = do(json.loads(line))
-                if said is not None:
-                    tell(**said)
+                result = do(json.loads(line))
+                if result is not None:
+                    tell(**result)
     except TimeoutError:
         print(f"ended after {seconds:g} s", file=sys.stderr, flush=True)
 
 
 def own_usage() -> dict[str, float]:
-    """This process's processor time (s), and the most memory that it has held (MB)."""
-    # Not getrusage's: that figure goes on from whoever started the process.
+    """This process's processor time (s) and peak memory (MB)."""
+    # Not from getrusage: its peak includes that of the process that started this one.
     return {"cpu_s": time.process_time(), "peak_mb": memory_mb(os.getpid())}
 
 
 def max_connections() -> int:
-    """How many connections the process's limit of descriptors leaves room for."""
-    return resource.getrlimit(resource.RLIMIT_NOFILE)[0] - DESCRIPTORS_KEPT
+    """How many connections the process's descriptor limit allows."""
+    return resource.getrlimit(resource.RLIMIT_NOFILE)[0] - RESERVED_DESCRIPTORS
 
 
-# In who starts it -----------------------------------------------------------------------------------------
+# In the parent -----------------------------------------------------------------------------------------
 
 
 class Child:
-    """One process of a module of this package; its first line is `first_message`."""
+    """One child process that runs a module of this package."""
 
     def __init__(self, module: str, *args: object) -> None:
         self.process = subprocess.Popen(
@@ -84,24 +84,24 @@
             text=True,
         )
         self.module = module
-        self.lines: deque[str] = deque(maxlen=LINES_MOST)
-        self.faults = 0  # lines of standard error that tell of an error in the program
+        self.lines: deque[str] = deque(maxlen=MAX_KEPT_LINES)
+        self.faults = 0  # lines of standard error that report an error in the program
         self._answers: queue.Queue[str] = queue.Queue()
         self._readers = [
-            threading.Thread(target=self._read, daemon=True),
-            threading.Thread(target=self._note, daemon=True),
+            threading.Thread(target=self._read_stdout, daemon=True),
+            threading.Thread(target=self._read_stderr, daemon=True),
         ]
         for reader in self._readers:
             reader.start()
         self.first_message: Command = {}
 
-    def _read(self) -> None:
+    def _read_stdout(self) -> None:
         assert self.process.stdout is not None
         for line in self.process.stdout:
             self._answers.put(line)
         self._answers.put("")
 
-    def _note(self) -> None:
+    def _read_stderr(self) -> None:
         assert self.process.stderr is not None
         for line in self.process.stderr:
             self.faults += line.startswith(FAULTS)
@@ -111,19 +111,19 @@
     def pid(self) -> int:
         return self.process.pid
 
-    def answer(self, within: float = ANSWER_IN) -> Command:
-        """The next line that it says; MeasurementError if none comes in time."""
+    def answer(self, within: float = ANSWER_TIMEOUT) -> Command:
+        """The next line of its output; raises MeasurementError if there is none in time."""
         try:
             line = self._answers.get(timeout=within)
         except queue.Empty:
-            raise MeasurementError(f"{self.module} said nothing within {within:g} s") from None
+            raise MeasurementError(f"{self.module} sent no line within {within:g} s") from None
         if not line:
             raise MeasurementError(f"{self.module} has ended: {' / '.join(list(self.lines)[-3:])}")
-        said = json.loads(line)
-        assert isinstance(said, dict)
-        return said
+        message = json.loads(line)
+        assert isinstance(message, dict)
+        return message
 
-    def ready(self, within: float = ANSWER_IN) -> Self:
+    def ready(self, within: float = ANSWER_TIMEOUT) -> Self:
         self.first_message = self.answer(within)
         return self
 
@@ -140,20 +140,20 @@
         return self.answer()
 
     def end(self) -> None:
-        """End its input and wait for its end; one that doesn't end is killed, which is an error."""
+        """Close its input and wait for its exit; if it doesn't exit, kill it and raise MeasurementError."""
         assert self.process.stdin is not None
         try:
             self.process.stdin.close()
-        except OSError:  # it has ended already
+        except OSError:  # it has already exited
             pass
         try:
-            self.process.wait(END_IN)
+            self.process.wait(EXIT_TIMEOUT)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
-            raise MeasurementError(f"{self.module} did not end with its input") from None
+            raise MeasurementError(f"{self.module} did not exit at the end of its input") from None
         for reader in self._readers:
-            reader.join(END_IN)
+            reader.join(EXIT_TIMEOUT)
 
     def __enter__(self) -> Self:
         return self
@@ -162,7 +162,7 @@
         try:
             self.end()
         except MeasurementError:
-            if kind is None:  # what went wrong before says more
+            if kind is None:  # an earlier error says more
                 raise
 
 
@@ -170,17 +170,17 @@
 _PR_SET_PDEATHSIG = 1  # linux/prctl.h
 
 
-def _with_parent() -> None:
-    """In the process that is to be the program: it is killed when the thread that started it ends.
+def _die_with_parent() -> None:
+    """In the child before exec: have it killed when the thread that started it ends.
 
-    Guards a measurement that is killed: the program reads no standard input that would tell it.
+    Without it, a killed measurement leaves the program running, as that does not read its standard input.
     """
     if _LIBC.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0):
         raise OSError(ctypes.get_errno(), "prctl")
 
 
 class Program:
-    """One process of `python -m hallproxy`, ready once it says that it listens."""
+    """One process of `python -m hallproxy`, ready once it logs that it listens."""
 
     def __init__(self, *args: str, ready: str = " listens on ", **environ: str) -> None:
         env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")} | environ
@@ -190,27 +190,27 @@
             env=env,
             stderr=subprocess.PIPE,
             text=True,
-            preexec_fn=_with_parent,
+            preexec_fn=_die_with_parent,
         )
-        self.lines: deque[str] = deque(maxlen=LINES_MOST)
-        self._ready, self._word, self._where = threading.Event(), ready, ""
-        self._reader = threading.Thread(target=self._read, daemon=True)
+        self.lines: deque[str] = deque(maxlen=MAX_KEPT_LINES)
+        self._ready, self._ready_text, self._address = threading.Event(), ready, ""
+        self._reader = threading.Thread(target=self._read_stdout, daemon=True)
         self._reader.start()
 
-    def _read(self) -> None:
+    def _read_stdout(self) -> None:
         assert self.process.stderr is not None
         for line in self.process.stderr:
             self.lines.append(line.rstrip())
-            if self._word in line and not self._where:
-                self._where = line.split()[-1]
+            if self._ready_text in line and not self._address:
+                self._address = line.split()[-1]
                 self._ready.set()
         self._ready.set()
 
     def listening_address(self) -> str:
-        """Where it listens; MeasurementError if it ended or did not say so in time."""
-        if not self._ready.wait(ANSWER_IN) or not self._where:
+        """Its address; raises MeasurementError if it exited or did not log it in time."""
+        if not self._ready.wait(ANSWER_TIMEOUT) or not self._address:
             raise MeasurementError(f"hallproxy does not listen: {' / '.join(list(self.lines)[-3:])}")
-        return self._where
+        return self._address
 
     @property
     def pid(self) -> int:
@@ -221,9 +221,9 @@
         self.process.wait()
 
     def end(self) -> None:
-        """Its end is not what is measured: it is killed. What it said must hold no traceback."""
+        """Kill it, as its shutdown isn't measured. Raises MeasurementError if it logged a traceback."""
         self.kill()
-        self._reader.join(END_IN)
+        self._reader.join(EXIT_TIMEOUT)
         if any("Traceback" in line for line in self.lines):
             raise MeasurementError(f"hallproxy: {' / '.join(self.lines)}")
 
@@ -238,23 +238,23 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time that a process has had (s), of all its threads, to the nanosecond."""
+    """Processor time of a process so far (s), summed over its threads, to the nanosecond."""
     tasks = Path(f"/proc/{pid}/task").glob("*/schedstat")
     return sum(int(task.read_text().split()[0]) for task in tasks) / 1e9
 
 
 def memory_mb(pid: int, field: str = "VmHWM") -> float:
-    """Memory that a process holds (VmRSS) or has held at most (VmHWM)."""
+    """A process's memory in MB: current (VmRSS) or peak (VmHWM)."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith(field + ":"):
             return int(line.split()[1]) / 1024
     raise MeasurementError(f"process {pid} has ended")
 
 
-def until(condition: Callable[[], bool], what: str, within: float = ANSWER_IN) -> None:
-    """Wait for a condition, not for a time; MeasurementError names what did not come."""
-    end = time.monotonic() + within
+def until(condition: Callable[[], bool], what: str, within: float = ANSWER_TIMEOUT) -> None:
+    """Poll a condition; raise MeasurementError that names `what` if it is not met in time."""
+    deadline = time.monotonic() + within
     while not condition():
-        if time.monotonic() > end:
+        if time.monotonic() > deadline:
             raise MeasurementError(f"{what}: not within {within:g} s")
         time.sleep(0.02)
--- a/hallproxy/lab/capacity/one.py
+++ b/hallproxy/lab/capacity/one.py
@@ -1,6 +1,6 @@
-"""One size of one measurement, in this process: `runner` starts it.
+"""Run one size of one measurement in this process, which `runner` starts.
 
-It imports nothing of fits, plots or the command line, as their memory and threads would count.
+Import nothing of fits, plots or the command line: their memory and threads would be measured too.
 """
 
 import json
@@ -12,21 +12,21 @@
 from hallproxy.lab.capacity.catalogue import catalogue
 from hallproxy.lab.capacity.registry import Run
 
-FAILED = 3  # exit status; why is in the outcome's file
+FAILED = 3  # exit status; the outcome file gives the reason
 
 
 def main(task: str) -> int:
-    """`task` is a JSON object: name, x, seed, tiny, where, outcome (the file that says what came of it)."""
-    told = json.loads(task)
-    name, x, seed = told["name"], told["x"], told["seed"]
-    given = Run(seed, told["tiny"], random.Random(f"{seed}/{name}/{x!r}"), Path(told["where"]))
+    """`task` is a JSON object: name, x, seed, tiny, where (scratch directory), outcome (file to write)."""
+    fields = json.loads(task)
+    name, x, seed = fields["name"], fields["x"], fields["seed"]
+    run = Run(seed, fields["tiny"], random.Random(f"{seed}/{name}/{x!r}"), Path(fields["where"]))
     try:
-        came: dict[str, object] = {"values": catalogue()[name].body(x, given)}
-    except Exception as error:  # whatever it is, the line in the results must say so
+        outcome: dict[str, object] = {"values": catalogue()[name].body(x, run)}
+    except Exception as error:  # any error must be reported in the results line
         traceback.print_exc()
-        came = {"failed": f"{type(error).__name__}: {error}"}
-    Path(told["outcome"]).write_text(json.dumps(came), "utf-8")
-    return FAILED if "failed" in came else 0
+        outcome = {"failed": f"{type(error).__name__}: {error}"}
+    Path(fields["outcome"]).write_text(json.dumps(outcome), "utf-8")
+    return FAILED if "failed" in outcome else 0
 
 
 if __name__ == "__main__":
--- a/hallproxy/lab/capacity/process.py
+++ b/hallproxy/lab/capacity/process.py
@@ -1,7 +1,7 @@
-"""A real gateway in a process of its own, with stand-ins on loopback, and what that process uses.
+"""A real gateway in its own process, with stand-ins on loopback, and the resources that it uses.
 
-The stand-ins are forked, so that they are there at once; their sockets are bound ahead of it. They count what
-they are asked in shared memory. Their own processor time, and the client's, is no part of any figure.
+The stand-ins are forked so that they start without delay; their sockets are bound before the fork. They count
+requests in shared memory. Their own processor time, and the client's, is not part of any figure.
 """
 
 import asyncio
@@ -26,18 +26,17 @@
 from hallproxy.lab.capacity.registry import MeasurementError
 
 ROOT = Path(__file__).parents[3]
-READY_IN = 30.0  # s
-END_IN = 15.0  # s
-_ASKED = re.compile(rb"GET /v2/q/(\w+)/([0-9a-f]{16})/(\d+) HTTP/1\.1\r\n")
-_POLLED = re.compile(rb"GET /changes\?since=(\d+)&timeout=(\d+) HTTP/1\.1\r\n")
+READY_TIMEOUT = 30.0  # s
+EXIT_TIMEOUT = 15.0  # s
+_OBJECT_REQUEST = re.compile(rb"GET /v2/q/(\w+)/([0-9a-f]{16})/(\d+) HTTP/1\.1\r\n")
+_POLL_REQUEST = re.compile(rb"GET /changes\?since=(\d+)&timeout=(\d+) HTTP/1\.1\r\n")
 
 
 def processor_s(pid: int) -> float:
-    """utime + stime of a process so far, all its threads together.
+    """utime + stime of a process so far, summed over its threads.
 
-    Read from the process's own clock, as clock_getcpuclockid(3) names it: /proc/PID/stat counts in
-    steps of 10 ms.
-    Raises MeasurementError where there is no such process.
+    Read from the process's own clock (see clock_getcpuclockid(3)): /proc/PID/stat counts in steps of 10 ms.
+    Raises MeasurementError if there is no such process.
     """
     try:
         return time.clock_gettime(~pid << 3 | 2)
@@ -46,7 +45,7 @@
 
 
 def memory_kb(pid: int, which: str = "VmRSS") -> float:
-    """Resident memory of a process, in KB of 1,000 bytes; `VmHWM`: the most so far."""
+    """Resident memory of a process, in KB of 1,000 bytes; its peak with `VmHWM`."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith(which + ":"):
             return int(line.split()[1]) * 1.024
@@ -54,29 +53,29 @@
 
 
 def object_body(row: int, size: int) -> bytes:
-    """What the stand-in store holds of an object: made of its number, so that a mix-up shows."""
+    """The stand-in store's body of an object: derived from its number, so that a mix-up is detected."""
     return (row.to_bytes(8, "big") * (size // 8 + 1))[:size]
 
 
 class Counts(ctypes.Structure):
-    """What the stand-ins have seen; one process writes, the measurement reads."""
+    """Counters of the stand-ins: their process writes, the measurement reads."""
 
     _fields_ = [
         ("polls", ctypes.c_int64),
-        ("first_poll_bytes", ctypes.c_int64),  # of the first answer's body
-        ("heard", ctypes.c_int64),  # the highest number that a poll asked from
-        ("asked", ctypes.c_int64),  # requests that came to the store
-        ("connections", ctypes.c_int64),  # open to the store now
-        ("accepted", ctypes.c_int64),  # connections to it so far
-        ("unread", ctypes.c_int64),  # heads that make no sense here
+        ("first_poll_bytes", ctypes.c_int64),  # body of the first response
+        ("heard", ctypes.c_int64),  # highest `since` of any poll
+        ("asked", ctypes.c_int64),  # requests that the store received
+        ("connections", ctypes.c_int64),  # to the store, open now
+        ("accepted", ctypes.c_int64),  # connections to the store so far
+        ("unread", ctypes.c_int64),  # request heads that can't be parsed
     ]
 
 
-class Log(asyncio.Protocol):
-    """One connection to the stand-in change log: long polls of one fixed page."""
+class LogConnection(asyncio.Protocol):
+    """One connection to the stand-in change log, which serves long polls from one fixed page."""
 
     def __init__(self, page: fleet.Json, counts: Any) -> None:
-        self._page, self._counts, self._came = page, counts, b""
+        self._page, self._counts, self._received = page, counts, b""
         self._transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -84,34 +83,34 @@
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self._came += data
-        head, found, self._came = self._came.partition(b"\r\n\r\n")
+        self._received += data
+        head, found, self._received = self._received.partition(b"\r\n\r\n")
         if not found:
-            self._came = head
+            self._received = head
             return
-        asked = _POLLED.match(head + b"\r\n")
+        asked = _POLL_REQUEST.match(head + b"\r\n")
         if asked is None:
             self._counts.unread += 1
             return self._transport.close()
         since, wait = int(asked[1]), int(asked[2])
         self._counts.heard = max(self._counts.heard, since)
-        more = [entry for entry in self._page["results"] if entry["seq"] > since]
-        body = json.dumps({"seq": self._page["seq"], "results": more}).encode()
+        events = [entry for entry in self._page["results"] if entry["seq"] > since]
+        body = json.dumps({"seq": self._page["seq"], "results": events}).encode()
         self._counts.polls += 1
         self._counts.first_poll_bytes = self._counts.first_poll_bytes or len(body)
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
         running = asyncio.get_running_loop()
-        running.call_later(0.0 if more else wait / 1000, self._transport.write, answer)
+        running.call_later(0.0 if events else wait / 1000, self._transport.write, answer)
 
 
-class Store(asyncio.Protocol):
-    """One connection to the stand-in store, one request at a time, as gateways send them."""
+class StoreConnection(asyncio.Protocol):
+    """One connection to the stand-in store. Gateways send one request at a time on it."""
 
-    held: list["Store"] = []  # connections whose requests wait until there are as many as are held
+    waiting: list["StoreConnection"] = []  # connections whose requests wait until there are `hold` of them
 
     def __init__(self, size: int, hold: int, dated: bool, counts: Any) -> None:
         self._size, self._hold, self._dated, self._counts = size, hold, dated, counts
-        self._came, self._row = b"", 0
+        self._received, self._row = b"", 0
         self._transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -124,34 +123,34 @@
         self._counts.connections -= 1
 
     def data_received(self, data: bytes) -> None:
-        self._came += data
-        head, found, self._came = self._came.partition(b"\r\n\r\n")
+        self._received += data
+        head, found, self._received = self._received.partition(b"\r\n\r\n")
         if not found:
-            self._came = head
+            self._received = head
             return
-        asked = _ASKED.match(head + b"\r\n")
+        asked = _OBJECT_REQUEST.match(head + b"\r\n")
         if asked is None:
             self._counts.unread += 1
             return self._transport.close()
         self._row = int(asked[2], 16)
         self._counts.asked += 1
-        Store.held.append(self)
-        if len(Store.held) >= self._hold:
-            for store in Store.held:
-                store.answer()
-            Store.held.clear()
-
-    def answer(self) -> None:
-        born = b"X-Born-Ms: %d\r\n" % (time.time_ns() // fleet.MS) if self._dated else b""
-        head = b'HTTP/1.1 200 OK\r\nETag: "%x"\r\n%s' % (self._row, born)
+        StoreConnection.waiting.append(self)
+        if len(StoreConnection.waiting) >= self._hold:
+            for connection in StoreConnection.waiting:
+                connection.respond()
+            StoreConnection.waiting.clear()
+
+    def respond(self) -> None:
+        created = b"X-Born-Ms: %d\r\n" % (time.time_ns() // fleet.MS) if self._dated else b""
+        head = b'HTTP/1.1 200 OK\r\nETag: "%x"\r\n%s' % (self._row, created)
         head += b"Content-Length: %d\r\n\r\n" % self._size
         self._transport.write(head + object_body(self._row, self._size))
 
 
 @dataclass
 class Standins:
-    log: str  # addresses
-    store: str
+    log: str  # address
+    store: str  # address
     counts: Any
 
 
@@ -160,9 +159,9 @@
 ) -> None:
     async def serve() -> None:
         running = asyncio.get_running_loop()
-        await running.create_server(lambda: Log(page, counts), sock=log, backlog=512)
-        made = partial(Store, size, hold, dated, counts)
-        server = await running.create_server(made, sock=store, backlog=512)
+        await running.create_server(lambda: LogConnection(page, counts), sock=log, backlog=512)
+        connection = partial(StoreConnection, size, hold, dated, counts)
+        server = await running.create_server(connection, sock=store, backlog=512)
         await server.serve_forever()
 
     asyncio.run(serve())
@@ -172,31 +171,31 @@
 def standins(
     page: Callable[[str], fleet.Json], size: int = 0, hold: int = 1, dated: bool = True
 ) -> Iterator[tuple[Standins, fleet.Json]]:
-    """A change log and a store in a process of their own.
+    """A change log and a store, both in one separate process.
 
-    ``page`` gives the log's whole page for the store's address. The store's bodies have ``size`` bytes each;
-    it answers when ``hold`` requests are with it. What is not ``dated`` is no copy that a gateway keeps.
+    ``page`` returns the log's only page for the store's address. The store's bodies have ``size`` bytes each;
+    it responds once ``hold`` requests wait. Gateways keep no copy of a response that is not ``dated``.
     """
     log, store = (socket.create_server(("127.0.0.1", 0), backlog=512) for _ in range(2))
     addresses = ["127.0.0.1:%d" % sock.getsockname()[1] for sock in (log, store)]
     forking = multiprocessing.get_context("fork")
     counts: Any = forking.Value(Counts, lock=False)
-    told = page(addresses[1])
-    process = forking.Process(target=_serve, args=(log, store, told, size, hold, dated, counts), daemon=True)
+    known = page(addresses[1])
+    process = forking.Process(target=_serve, args=(log, store, known, size, hold, dated, counts), daemon=True)
     process.start()
     log.close()
     store.close()
     try:
-        yield Standins(addresses[0], addresses[1], counts), told
+        yield Standins(addresses[0], addresses[1], counts), known
         if counts.unread:
-            raise MeasurementError(f"{counts.unread} heads came to the stand-ins that they can't read")
+            raise MeasurementError(f"{counts.unread} request heads could not be parsed by the stand-ins")
     finally:
         process.kill()
         process.join()
 
 
 class Gateway:
-    """One gateway's process. It is ready when its port takes connections."""
+    """The process of one gateway. It is ready once its port accepts connections."""
 
     def __init__(
         self, where: Path, name: str, known: fleet.Json, log: str, settings: fleet.Json, sockets: int = 1024
@@ -208,12 +207,12 @@
         path.write_text(json.dumps(config))
         self.known_kb = len(json.dumps(known)) / 1e3
         env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
-        self._said: list[str] = []
-        self._rest = b""
+        self._log_lines: list[str] = []
+        self._partial_line = b""
         self.began = time.perf_counter()
         self.ready_ms = 0.0
         self.port = 0
-        self.core_s = self.peak_kb = 0.0  # for whoever notes them
+        self.core_s = self.peak_kb = 0.0  # set by the measurement
         self.process = subprocess.Popen(
             [sys.executable, "-m", "hallproxy"], cwd=ROOT, stderr=subprocess.PIPE,
             env=env | {"EDGE_CONFIG": str(path), "EDGE_NAME": name, "PYTHONPATH": str(ROOT)},
@@ -221,28 +220,30 @@
         self.pid = self.process.pid
 
     def listen(self, within: float) -> bool:
-        """Read what it says for so many s at most; true once it has said where it listens."""
+        """Read its standard error for at most `within` s; true once it has logged its address."""
         assert self.process.stderr is not None
         descriptor = self.process.stderr.fileno()
         if select.select([descriptor], [], [], within)[0]:
-            more = os.read(descriptor, 65_536)
-            *lines, self._rest = (self._rest + more).split(b"\n")
-            self._said += [line.decode(errors="replace") for line in lines]
+            data = os.read(descriptor, 65_536)
+            *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+            self._log_lines += [line.decode(errors="replace") for line in lines]
             for line in lines:
                 if b" listens on " in line:
                     self.ready_ms = (time.perf_counter() - self.began) * 1e3
                     self.port = int(line.rsplit(b":", 1)[1])
-            if not more and not self.port:
-                raise MeasurementError(f"the gateway ended: {self._said[-3:]}")
+            if not data and not self.port:
+                raise MeasurementError(f"the gateway ended: {self._log_lines[-3:]}")
         return self.port > 0
 
     def ready(self) -> "Gateway":
-        """Raises MeasurementError where it isn't, in its time."""
-        end = time.perf_counter() + READY_IN
-        while not self.port and not self.listen(max(0.0, end - time.perf_counter())):
-            if time.perf_counter() > end:
-                raise MeasurementError(f"no gateway after {READY_IN:g} s: {self._said[-3:]}")
-        socket.create_connection(("127.0.0.1", self.port), READY_IN).close()
+        """Wait until it is ready; raise MeasurementError after READY_TIMEOUT."""
+        deadline = time.perf_counter() + READY_TIMEOUT
+        while not self.port and not self.listen(max(0.0, deadline - time.perf_counter())):
+            if time.perf_counter() > deadline:
+                raise MeasurementError(
+                    f"the gateway does not listen after {READY_TIMEOUT:g} s: {self._log_lines[-3:]}"
+                )
+        socket.create_connection(("127.0.0.1", self.port), READY_TIMEOUT).close()
         return self
 
     def processor_s(self) -> float:
@@ -253,40 +254,40 @@
 
     def kill(self) -> None:
         self.process.kill()
-        self.process.wait(END_IN)
+        self.process.wait(EXIT_TIMEOUT)
         assert self.process.stderr is not None
-        self._said += self.process.stderr.read().decode(errors="replace").splitlines()
+        self._log_lines += self.process.stderr.read().decode(errors="replace").splitlines()
         self.process.stderr.close()
 
     def faults(self) -> list[str]:
-        """Lines of the log that tell of a fault of the program; known after the end."""
-        return [line for line in self._said if "Traceback" in line or line.startswith("fault on")]
+        """Lines of its log that report a fault of the program; complete once it has ended."""
+        return [line for line in self._log_lines if "Traceback" in line or line.startswith("fault on")]
 
 
 @contextmanager
 def gateway(
     where: Path, known: fleet.Json, log: str, settings: fleet.Json, sockets: int = 1024
 ) -> Iterator[Gateway]:
-    """One gateway, ready. Killed at the end: how it stops is no matter of capacity."""
+    """One ready gateway. It is killed at the end, as its shutdown isn't measured."""
     made = Gateway(where, "n1", known, log, settings, sockets)
     try:
         yield made.ready()
     finally:
         made.kill()
     if made.faults():
-        raise MeasurementError(f"the gateway's log tells of faults: {made.faults()[:2]}")
+        raise MeasurementError(f"the gateway's log reports faults: {made.faults()[:2]}")
 
 
 def small_list(address: str, caches: int = 4) -> list[fleet.Json]:
-    """A list of so many caches, a parent and the origin, all at one address, in the one zone there is."""
-    made = [("o-0", "origin"), ("p-0", "parent"), *((f"s-{n}", "std") for n in range(caches))]
+    """A list of some caches, a parent and the origin, all at one address and in the only zone."""
+    named = [("o-0", "origin"), ("p-0", "parent"), *((f"s-{n}", "std") for n in range(caches))]
     return [{"instanceId": ident, "hostPort": address, "zone": "zone-0", "machineType": kind, "cell": 0,
-             "lifecycle": "Ready", "weight": 100.0, "startedAtMs": 0} for ident, kind in made]  # fmt: skip
+             "lifecycle": "Ready", "weight": 100.0, "startedAtMs": 0} for ident, kind in named]  # fmt: skip
 
 
 def one_zone_settings() -> fleet.Json:
-    """Settings of a site that one gateway has to itself, so that what it does is bounded by itself alone.
+    """Settings of a site with a single gateway, so that only its own capacity limits it.
 
-    The aim is long: on a busy machine the gateway must not take its own lateness for a jam.
+    The aim is long: on a busy machine the gateway must not take its own delay for an overloaded endpoint.
     """
     return fleet.settings_json(zones=1, gateways=1, aim_ms=5_000)
--- a/hallproxy/lab/capacity/program.py
+++ b/hallproxy/lab/capacity/program.py
@@ -1,4 +1,4 @@
-"""What the rows take from the program itself: its bounds, and its mechanisms with their files."""
+"""What the rows of the page take from the program: its limits, and its mechanisms with their files."""
 
 from hallproxy.interface import RequestClass, Settings
 from hallproxy.lab.capacity.rows import Mechanism
@@ -12,22 +12,22 @@
 PART_KB = 240.0
 """KB (1,000 bytes) of an object's largest part (docs/architecture.md, whole answers)."""
 MEMORY_MB, SOCKETS = 192, 1_024
-"""A gateway's limits where its configuration names none (`run/config.py`)."""
+"""A gateway's limits if its configuration sets none (`run/config.py`)."""
 _SETTINGS = Settings(
     (RequestClass(SECOND, SECOND),), 0, (0,), 1, 2, 1.0, 0, 1.0, SECOND, 0, 0
-)  # nothing of them is asked for but when stores close idle connections: never told
+)  # only the idle timeout of stores is read, and it is unset
 BOUNDS = limits.derive_limits(Config("", ("", 0), 0, MEMORY_MB, SOCKETS, None, 0, 0, {}, _SETTINGS))
-"""What it may hold with them, on a machine that allows a process as many descriptors."""
+"""The limits derived from them, on a machine that allows a process as many descriptors."""
 PARTS = SIZE.gateway_rate * SIZE.body_kb / PART_KB
-"""Parts a second at one gateway, were bodies told in the largest parts there are."""
+"""Parts a second at one gateway if all bodies are sent in parts of the largest size."""
 GATHER = 0.25
-"""s that a relay waits for more events before it cuts a page (`gather_ms` where its file does not say)."""
+"""s that a relay waits for more events before it publishes a page (the default of its `gather_ms`)."""
 OPEN_TIME = 0.1
-"""s that a request is taken to be open, as nobody told; what grows with it is said for each 0.1 s."""
+"""s that a request is assumed to be open, as the operators gave no figure; results are stated per 0.1 s."""
 STALE_WATCH_TIME = caching.STALE_WATCH_AFTER / SECOND
-"""s without news after which own copies rest."""
+"""s without an update from the change log after which a gateway stops using its own copies."""
 POLL_BYTES = len(encode_poll(10**9, change_log_poller.POLL_WAIT, "10.100.100.100:4222"))
-"""Bytes of a poll's request, its number a billion."""
+"""Bytes of a poll request from sequence number one billion."""
 
 FRAMES = Mechanism("answers in frames, a part at a time", "hallproxy/wire/frames.py")
 ONE_LOOP = Mechanism("one process on one event loop", "hallproxy/run/effect_runner.py")
--- a/hallproxy/lab/capacity/registry.py
+++ b/hallproxy/lab/capacity/registry.py
@@ -1,7 +1,7 @@
-"""What a measurement is, and the register of all of them.
+"""The definition of a measurement, and the register of all measurements.
 
-A measurement is a function of one size (`x`): it builds the thing at that size, asserts its own counts, bytes
-and bounds, and gives a figure for each of its quantities. The line through its sizes is laid in `fits`.
+A measurement is a function of one size (`x`): it builds its subject at that size, checks its own counts,
+bytes and bounds, and returns a value for each of its quantities. `fits` fits a line through the sizes.
 """
 
 import random
@@ -10,16 +10,16 @@
 from pathlib import Path
 
 MIN_SIZES = 4
-"""Fewer sizes than this tell no curve from a line."""
+"""With fewer sizes, a curve can't be told from a line."""
 
 
 class MeasurementError(Exception):
-    """A measurement's own count, byte or bound did not hold; the message says which."""
+    """A measurement's own check of a count, a size in bytes or a bound failed; the message says which."""
 
 
 @dataclass(frozen=True)
 class Quantity:
-    """One figure of a measurement. Where not `fitted`, it is shown by size and no line is laid through it."""
+    """One value of a measurement. Unless `fitted`, it is shown by size, without a fitted line."""
 
     name: str
     unit: str
@@ -28,7 +28,7 @@
 
 @dataclass
 class Run:
-    """What a measurement is given beside its size: `scratch_dir` is removed after the measurement."""
+    """What a measurement gets besides its size. `scratch_dir` is removed after the measurement."""
 
     seed: int
     tiny: bool
@@ -37,14 +37,14 @@
 
 
 Measured = dict[str, float | None]
-"""By quantity's name; None where it was not measured at this size."""
+"""Values by the quantity's name; None if it was not measured at this size."""
 
 Body = Callable[[float, Run], Measured]
 
 
 @dataclass(frozen=True)
 class Measurement:
-    """`x` names what the sizes count; one size may take `minutes`; past that it is ended and failed."""
+    """`x` names what the sizes count. A size that takes over `minutes` is killed and recorded as failed."""
 
     name: str
     role: str
@@ -60,13 +60,13 @@
     def __post_init__(self) -> None:
         for sizes in (self.sizes, self.tiny):
             if len({size for size in sizes if size > 0}) < MIN_SIZES or any(size < 0 for size in sizes):
-                raise ValueError(f"{self.name}: at least {MIN_SIZES} different sizes over 0 are needed")
+                raise ValueError(f"{self.name}: at least {MIN_SIZES} different sizes over 0 are required")
         names = [quantity.name for quantity in self.quantities]
         if not names or len(set(names)) < len(names):
-            raise ValueError(f"{self.name}: its quantities need names of their own")
+            raise ValueError(f"{self.name}: at least one quantity, each with a unique name, is required")
 
     def quantity(self, name: str) -> Quantity:
-        """Raises KeyError."""
+        """Raises KeyError if there is no quantity of this name."""
         for quantity in self.quantities:
             if quantity.name == name:
                 return quantity
@@ -80,15 +80,15 @@
     *, name: str, role: str, title: str, x: str, x_unit: str = "", sizes: tuple[float, ...],
     tiny: tuple[float, ...], quantities: tuple[Quantity, ...], minutes: float = 2.0,
 ) -> Callable[[Body], Body]:  # fmt: skip
-    """Puts the decorated function into `register`; the function itself stays as it is.
+    """Add the decorated function to `register` and return it unchanged.
 
-    Raises ValueError where the name is taken, or there are fewer than four sizes.
+    Raises ValueError if the name is taken or there are fewer than four sizes.
     """
 
-    def enter(body: Body) -> Body:
+    def decorate(body: Body) -> Body:
         if name in register:
             raise ValueError(f"two measurements are named {name}")
         register[name] = Measurement(name, role, title, x, x_unit, sizes, tiny, quantities, minutes, body)
         return body
 
-    return enter
+    return decorate
--- a/hallproxy/lab/capacity/results.py
+++ b/hallproxy/lab/capacity/results.py
@@ -1,4 +1,4 @@
-"""The file of results: one JSON object a line, appended and never changed."""
+"""The results file: one JSON object per line, only ever appended to."""
 
 import json
 import math
@@ -16,14 +16,14 @@
 
 
 class ResultsError(ValueError):
-    """A line that can't be used: the file, its line, and why."""
+    """A results file or line can't be used; the message names the file, the line and the cause."""
 
 
 @dataclass(frozen=True)
 class Result:
-    """One size measured once. `run` is when the command began (UTC) and names all lines of it.
+    """One measurement of one size. `run` is the start time of the command (UTC) and identifies its lines.
 
-    `failed` says why there are no values; it is empty where there are.
+    `failed` is the reason why there are no values, and empty if there are.
     """
 
     measurement: str
@@ -41,7 +41,7 @@
 
 
 def machine() -> dict[str, Any]:
-    """Of this machine: its processor, memory and kernel, and the interpreter. Nothing that names it."""
+    """Processor, memory, kernel and Python version of the machine; nothing that identifies it."""
     cpu = "unknown"
     for line in Path("/proc/cpuinfo").read_text().splitlines():
         if line.startswith("model name"):
@@ -54,11 +54,11 @@
 
 
 def version() -> dict[str, Any]:
-    """The commit, and whether the program's files differ from it; "unknown" outside a clone."""
+    """The commit, and whether the package's files differ from it; "unknown" outside a clone."""
 
-    def git(*words: str) -> str:
-        ran = subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True)
-        return ran.stdout.strip() if ran.returncode == 0 else "unknown"
+    def git(*args: str) -> str:
+        completed = subprocess.run(["git", *args], cwd=ROOT, capture_output=True, text=True)
+        return completed.stdout.strip() if completed.returncode == 0 else "unknown"
 
     dirty = git("status", "--porcelain", "hallproxy") != ""
     return {"commit": git("rev-parse", "--short=12", "HEAD"), "dirty": dirty}
@@ -74,32 +74,34 @@
         file.write(json.dumps(fields) + "\n")
 
 
-_KINDS: dict[str, type | tuple[type, ...]] = {
+_FIELD_TYPES: dict[str, type | tuple[type, ...]] = {
     "measurement": str, "x": (int, float), "repeat": int, "seed": int, "tiny": bool, "run": str, "at": str,
     "load": (int, float), "machine": dict, "version": dict,
 }  # fmt: skip
-_OF_MACHINE = {"cpu", "cores", "memory_mb", "kernel", "python"}
+_MACHINE_FIELDS = {"cpu", "cores", "memory_mb", "kernel", "python"}
 
 
-def _line(text: str) -> Result:
-    """ValueError where it is not exactly what `append` writes."""
+def _parse_line(text: str) -> Result:
+    """Raises ValueError unless the line is exactly what `append` writes."""
     fields = json.loads(text)
     if not isinstance(fields, dict):
-        raise ValueError("no object")
-    told = {"values", "failed"} & fields.keys()
-    if len(told) != 1 or fields.keys() - told != _KINDS.keys():
-        raise ValueError(f"its fields are {', '.join(sorted(fields))}")
-    for name, kind in _KINDS.items():
-        if not isinstance(fields[name], kind) or (isinstance(fields[name], bool) and kind is not bool):
+        raise ValueError("not a JSON object")
+    outcome_fields = {"values", "failed"} & fields.keys()
+    if len(outcome_fields) != 1 or fields.keys() - outcome_fields != _FIELD_TYPES.keys():
+        raise ValueError(f"unexpected fields: {', '.join(sorted(fields))}")
+    for name, field_type in _FIELD_TYPES.items():
+        if not isinstance(fields[name], field_type) or (
+            isinstance(fields[name], bool) and field_type is not bool
+        ):
             raise ValueError(f"{name} is {fields[name]!r}")
-    if fields["machine"].keys() != _OF_MACHINE or fields["version"].keys() != {"commit", "dirty"}:
-        raise ValueError("machine or version lacks a field")
+    if fields["machine"].keys() != _MACHINE_FIELDS or fields["version"].keys() != {"commit", "dirty"}:
+        raise ValueError("machine or version has missing or unknown fields")
     if not is_figure(fields["x"]) or fields["x"] < 0:
         raise ValueError(f"x is {fields['x']!r}")
     values = fields.setdefault("values", {})
     failed = fields.setdefault("failed", "")
     if not isinstance(values, dict) or not isinstance(failed, str) or bool(values) == bool(failed):
-        raise ValueError("it holds neither values nor why it failed")
+        raise ValueError("exactly one of values and failed must be given")
     for name, value in values.items():
         if value is not None and not is_figure(value):
             raise ValueError(f"{name} is {value!r}")
@@ -107,12 +109,12 @@
 
 
 def is_figure(value: object) -> bool:
-    """A number, no truth value, and not infinite."""
+    """Whether the value is a finite number and not a bool."""
     return isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
 
 
 def read(path: Path, tiny: bool = False) -> list[Result]:
-    """All lines; ResultsError at the first that can't be used, or that is of a tiny run where none may be."""
+    """All lines. Raises ResultsError at the first invalid line, and at a tiny run's line unless `tiny`."""
     results = []
     try:
         lines = path.read_text("utf-8").splitlines()
@@ -120,22 +122,22 @@
         raise ResultsError(f"{path}: {error}") from None
     for number, line in enumerate(lines, 1):
         try:
-            result = _line(line)
+            result = _parse_line(line)
         except (ValueError, TypeError) as error:
             raise ResultsError(f"{path}, line {number}: {error}") from None
         if result.tiny and not tiny:
-            raise ResultsError(f"{path}, line {number}: a tiny run's figures are no results")
+            raise ResultsError(f"{path}, line {number}: figures of a tiny run are no results")
         results.append(result)
     return results
 
 
 def latest(results: Iterable[Result], measurement: Measurement) -> list[Result]:
-    """The lines of one measurement that count: those of the last command that ran it. Older ones stay.
+    """The lines of one measurement from the last command that ran it; older lines stay in the file.
 
-    ResultsError where they don't hold the quantities that the measurement has now.
+    Raises ResultsError if their quantities are not those that the measurement has now.
     """
-    of = [result for result in results if result.measurement == measurement.name]
-    last = [result for result in of if result.run == of[-1].run]
+    matching = [result for result in results if result.measurement == measurement.name]
+    last = [result for result in matching if result.run == matching[-1].run]
     names = {quantity.name for quantity in measurement.quantities}
     for result in last:
         if not result.failed and result.values.keys() != names:
--- a/hallproxy/lab/capacity/roles.py
+++ b/hallproxy/lab/capacity/roles.py
@@ -1,6 +1,6 @@
 """The page's first table: each role's state, messages, processor time and memory at the size.
 
-Each row's arithmetic is its own text; figures of the program are taken from it, so that they change with it.
+Each row carries its own arithmetic as text; constants of the program are imported, so that they stay current.
 """
 
 from hallproxy.lab.capacity.control_rows import CONTROL, MACHINE
--- a/hallproxy/lab/capacity/runner.py
+++ b/hallproxy/lab/capacity/runner.py
@@ -1,4 +1,4 @@
-"""One size in a process of its own, ended with all its children when its time is over."""
+"""Run each size in its own process, which is killed with all its children at its time limit."""
 
 import contextlib
 import json
@@ -18,10 +18,10 @@
 from hallproxy.lab.capacity.registry import Measured, Measurement
 
 MARK = "HALLPROXY_CAPACITY_RUN"
-"""Environment variable that all processes of one size inherit, also those in a session of their own."""
+"""Environment variable that all processes of one size inherit, even those in another session."""
 COMMAND = [sys.executable, "-m", "hallproxy.lab.capacity.one"]
-WHY_MOST = 300  # characters of why a size failed
-LEAVE_IN = 2.0  # s that children may take to go once the measurement has ended
+MAX_REASON_LENGTH = 300  # characters of the reason why a size failed
+EXIT_TIMEOUT = 2.0  # s for children to exit after the measurement has ended
 
 
 @dataclass(frozen=True)
@@ -38,18 +38,18 @@
 def run(
     chosen: Sequence[Measurement], plan: Plan, out: Path, say: Callable[[str], None]
 ) -> list[results.Result]:
-    """All sizes of each measurement, `plan.repeats` times, one after another; lines are written as they come.
+    """Run all sizes of each measurement, `plan.repeats` times, in sequence; append each result at once.
 
-    Gives the failed ones.
+    Return the failed results.
     """
-    machine, version, began, failed = results.machine(), results.version(), now(), []
+    machine, version, started_at, failed = results.machine(), results.version(), now(), []
     for one in chosen:
         for repeat in range(plan.repeats):
             for x in one.tiny if plan.tiny else one.sizes:
                 at, load, seed = now(), os.getloadavg()[0], plan.seed + repeat
                 values, why = measure(one, x, seed, plan.tiny)
-                result = results.Result(one.name, x, values, why, repeat, seed, plan.tiny, began, at, load,
-                                        machine, version)  # fmt: skip
+                result = results.Result(one.name, x, values, why, repeat, seed, plan.tiny, started_at,
+                                        at, load, machine, version)  # fmt: skip
                 results.append(out, result)
                 say(f"{one.name} {x:g}: {why or json.dumps(values)}")
                 if why:
@@ -58,13 +58,13 @@
 
 
 def measure(one: Measurement, x: float, seed: int, tiny: bool) -> tuple[Measured, str]:
-    """The values, or why there are none. Whatever came of it, no process of it is left."""
+    """The values, or the reason why there are none. No process of the measurement is left in either case."""
     with tempfile.TemporaryDirectory(prefix="capacity-") as scratch:
         where, outcome, mark = Path(scratch, "where"), Path(scratch, "outcome.json"), uuid.uuid4().hex
         where.mkdir()
         task = {"name": one.name, "x": x, "seed": seed, "tiny": tiny,
                 "where": str(where), "outcome": str(outcome)}  # fmt: skip
-        limit, over = one.minutes * 60, False
+        limit, timed_out = one.minutes * 60, False
         process: subprocess.Popen[bytes] | None = None
         try:
             with _termination_deferred():
@@ -76,51 +76,51 @@
             try:
                 process.wait(limit)
             except subprocess.TimeoutExpired:
-                over = True
-            left = 0 if over else _left(mark)
+                timed_out = True
+            remaining = 0 if timed_out else _count_remaining(mark)
         finally:
             if process is not None:
-                _end(process, mark)
-        if over:
+                _kill_all(process, mark)
+        if timed_out:
             return {}, f"over its limit of {limit:g} s"
-        values, why = _outcome(one, outcome, process.returncode)
-        if left:
-            values, why = {}, "; ".join([*([why] if why else []), f"left {left} processes running"])
-        return values, _plain(why, scratch)
+        values, why = _read_outcome(one, outcome, process.returncode)
+        if remaining:
+            values, why = {}, "; ".join([*([why] if why else []), f"left {remaining} processes running"])
+        return values, _one_line(why, scratch)
 
 
 @contextlib.contextmanager
 def _termination_deferred() -> Iterator[None]:
-    """Handle a SIGTERM behind the block: amid a spawn it would leave a process that nobody knows of."""
-    came = False
+    """Defer SIGTERM to the end of the block: during a spawn it would leave a process that nobody ends."""
+    received = False
 
-    def note(_number: int, _frame: object) -> None:
-        nonlocal came
-        came = True
+    def defer(_number: int, _frame: object) -> None:
+        nonlocal received
+        received = True
 
-    former = signal.signal(signal.SIGTERM, note)
+    previous = signal.signal(signal.SIGTERM, defer)
     try:
         yield
     finally:
-        signal.signal(signal.SIGTERM, former)
-        if came:
+        signal.signal(signal.SIGTERM, previous)
+        if received:
             signal.raise_signal(signal.SIGTERM)
 
 
-def _plain(why: str, scratch: str) -> str:
-    """In one line for the results and the page, without where it was on this machine."""
+def _one_line(why: str, scratch: str) -> str:
+    """The reason on one line for the results and the page, without paths of this machine."""
     shown = why.replace(scratch, "scratch").replace(str(results.ROOT), ".")
-    return " ".join(shown.split())[:WHY_MOST]
+    return " ".join(shown.split())[:MAX_REASON_LENGTH]
 
 
-def _outcome(one: Measurement, outcome: Path, status: int) -> tuple[Measured, str]:
+def _read_outcome(one: Measurement, outcome: Path, status: int) -> tuple[Measured, str]:
     try:
-        told = json.loads(outcome.read_text("utf-8"))
+        reported = json.loads(outcome.read_text("utf-8"))
     except (OSError, ValueError):
         return {}, f"ended with status {status} and no outcome"
-    if status != 0 or "failed" in told:
-        return {}, str(told.get("failed") or f"ended with status {status}")
-    values = told["values"]
+    if status != 0 or "failed" in reported:
+        return {}, str(reported.get("failed") or f"ended with status {status}")
+    values = reported["values"]
     if values.keys() != {quantity.name for quantity in one.quantities}:
         return {}, f"gave {', '.join(sorted(values))}"
     for name, value in values.items():
@@ -131,8 +131,8 @@
     return values, ""
 
 
-def _marked(mark: str) -> Iterator[int]:
-    """Processes of this user that carry the mark; one that has ended and waits to be reaped has none."""
+def _marked_processes(mark: str) -> Iterator[int]:
+    """Processes of this user with this run's mark; a zombie has none, as its environment is gone."""
     wanted = f"{MARK}={mark}".encode()
     for entry in os.scandir("/proc"):
         if entry.name.isdigit():
@@ -141,17 +141,17 @@
                     yield int(entry.name)
 
 
-def _left(mark: str) -> int:
-    """How many are left once they have had their time to go."""
-    until = time.monotonic() + LEAVE_IN
-    while (count := len(list(_marked(mark)))) and time.monotonic() < until:
+def _count_remaining(mark: str) -> int:
+    """The number of marked processes that still run after EXIT_TIMEOUT."""
+    deadline = time.monotonic() + EXIT_TIMEOUT
+    while (count := len(list(_marked_processes(mark)))) and time.monotonic() < deadline:
         time.sleep(0.02)
     return count
 
 
-def _end(process: "subprocess.Popen[bytes]", mark: str) -> None:
-    """SIGKILL to all that carry the mark until there are none: a child may be starting another meanwhile."""
-    while found := list(_marked(mark)):
+def _kill_all(process: "subprocess.Popen[bytes]", mark: str) -> None:
+    """Send SIGKILL to all marked processes until there are none: a child may spawn another meanwhile."""
+    while found := list(_marked_processes(mark)):
         for pid in found:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(pid, signal.SIGKILL)
--- a/hallproxy/lab/capacity/size.py
+++ b/hallproxy/lab/capacity/size.py
@@ -1,11 +1,11 @@
-"""The size to plan with: the operators' numbers, and what follows from them by division alone."""
+"""The size to plan for: the operators' numbers, and what follows from them by plain arithmetic."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Size:
-    """Rates are a second, at the peak; times are s; `control_*` is what one gateway may spend on control."""
+    """Rates are per second at the peak; times are s; `control_*` is one gateway's budget for control."""
 
     gateways: int = 7_100
     sites: int = 590
@@ -73,7 +73,7 @@
 
     @property
     def list_changes(self) -> float:
-        """Changes of the list a second, if every machine that goes were a store: gone, new, ready."""
+        """Changes of the list a second if every failed or restarted machine is a store: gone, new, ready."""
         return 3 * (self.failed_a_day + self.restarted_a_day) / 86_400
 
 
--- a/hallproxy/lab/capacity/starts.py
+++ b/hallproxy/lab/capacity/starts.py
@@ -24,7 +24,7 @@
                 where = run.scratch_dir / str(n)
                 where.mkdir()
                 made.append(process.Gateway(where, f"n{n}", known, standins.log, fleet.settings_json()))
-            end = time.perf_counter() + process.READY_IN
+            end = time.perf_counter() + process.READY_TIMEOUT
             while waiting := [one for one in made if not one.port]:
                 for one in waiting:
                     one.listen(0.002)
