--- a/hallproxy/lab/capacity/__main__.py
+++ b/hallproxy/lab/capacity/__main__.py
@@ -3,7 +3,7 @@
     python -m hallproxy.lab.capacity run --out docs/capacity/results.jsonl
     python -m hallproxy.lab.capacity render
 
-Measure figures for the page while nothing else runs on the machine; `load` in each line shows whether it did.
+Measure figures for the page while nothing else runs on the machine; `load` of each line shows the load.
 """
 
 import signal
--- a/hallproxy/lab/capacity/changelog.py
+++ b/hallproxy/lab/capacity/changelog.py
@@ -61,8 +61,8 @@
 
 
 class ChangeLog:
-    def __init__(self, cuts: Cuts, members: int, purged: fleet.PurgeSequence) -> None:
-        self.cuts, self.counts, self._purge_sequence = cuts, Counts(), purged
+    def __init__(self, cuts: Cuts, members: int, purges: fleet.PurgeSequence) -> None:
+        self.cuts, self.counts, self._purge_sequence = cuts, Counts(), purges
         self.published = 0  # number of the last published event
         self.waiting: dict[Peer, float] = {}  # held polls, with the end of their wait
         self.peers: set[Peer] = set()
--- a/hallproxy/lab/capacity/children.py
+++ b/hallproxy/lab/capacity/children.py
@@ -68,7 +68,7 @@
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0] - RESERVED_DESCRIPTORS
 
 
-# In the parent -----------------------------------------------------------------------------------------
+# In the parent --------------------------------------------------------------------------------------------
 
 
 class Child:
--- a/hallproxy/lab/capacity/client.py
+++ b/hallproxy/lab/capacity/client.py
@@ -67,10 +67,15 @@
     body_bytes: int = 0
     wrong: int = 0  # served with a body that differs from the store's
 
-    def check(self, asked: int, size: int) -> None:
+    def check(self, requests: int, size: int) -> None:
         """Raises MeasurementError unless each request was answered once, with its complete body."""
-        if (self.answers, self.served, self.wrong, self.body_bytes) != (asked, asked, 0, asked * size):
-            raise MeasurementError(f"of {asked} requests for {size} bytes: {self}")
+        if (self.answers, self.served, self.wrong, self.body_bytes) != (
+            requests,
+            requests,
+            0,
+            requests * size,
+        ):
+            raise MeasurementError(f"of {requests} requests for {size} bytes: {self}")
 
 
 class Client:
--- a/hallproxy/lab/capacity/control_fleet.py
+++ b/hallproxy/lab/capacity/control_fleet.py
@@ -1,6 +1,6 @@
-"""The platform that control's measurements run on: its settings, its list of stores, its purges.
+"""The platform for the measurements of control: its settings, its list of stores, its purges.
 
-All of it follows from a size and a seed, so the log, the gateways and whoever counts agree without asking.
+All of it is derived from a size and a seed, so the log, the gateways and the measurement agree on it.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 ZONES, REGIONS = 51, 17
 GATEWAYS = 7_100
 KINDS = ("std", "parent", "origin")
-PARENT_EACH = 25  # stores for one parent
-ADDRESSES_EACH = 250  # stores for one host address; nothing listens there
+STORES_PER_PARENT = 25
+STORES_PER_HOST = 250  # on one host address; nothing listens there
 
 
 def settings(zone: int = 0) -> dict[str, Any]:
-    """A gateway's settings as its configuration words them, with the site's own classes and rules."""
+    """A gateway's settings in the format of its configuration, with the site's own classes and rules."""
     site = tomllib.loads(SITE.read_text("utf-8"))
     rules, allow, fam = site["rules"], site["allow"], site["fam"]
     classes = [
@@ -95,9 +95,9 @@
 
 
 def store(number: int, started: int = 0) -> dict[str, Any]:
-    """One line of the list. Store 0 is the origin, and one of each 25 is a parent."""
-    kind = "origin" if number == 0 else "parent" if number % PARENT_EACH == 1 else "std"
-    host, port = divmod(number, ADDRESSES_EACH)
+    """One line of the list. Store 0 is the origin, and one in 25 is a parent."""
+    kind = "origin" if number == 0 else "parent" if number % STORES_PER_PARENT == 1 else "std"
+    host, port = divmod(number, STORES_PER_HOST)
     return {
         "instanceId": f"s-{number}",
         "hostPort": f"127.0.{host + 1}.1:{10_000 + port}",
@@ -111,31 +111,31 @@
 
 
 def list_event(members: int) -> dict[str, Any]:
-    """The whole list, as the first event of the log tells it."""
+    """The complete list, as in the log's first event."""
     return {"generation": 1, "reset": True, "instances": [store(n) for n in range(members)]}
 
 
 class PurgeSequence:
-    """The objects that are purged, in their order: the same for the same seed, and none of them twice."""
+    """The sequence of purged objects: the same for the same seed, without repeats."""
 
     def __init__(self, seed: int) -> None:
-        self._drawn = random.Random(seed)
+        self._rng = random.Random(seed)
         self._objects: list[int] = []
-        self._places: dict[int, int] = {}
+        self._index: dict[int, int] = {}
 
-    def __getitem__(self, place: int) -> int:
-        while len(self._objects) <= place:
+    def __getitem__(self, index: int) -> int:
+        while len(self._objects) <= index:
             self._draw()
-        return self._objects[place]
+        return self._objects[index]
 
-    def place(self, obj: int, most: int) -> int | None:
-        """Its place in the order; None if it is not among the first ``most``."""
-        while obj not in self._places and len(self._objects) < most:
+    def index_of(self, obj: int, limit: int) -> int | None:
+        """Its index in the sequence; None if it is not among the first ``limit``."""
+        while obj not in self._index and len(self._objects) < limit:
             self._draw()
-        return self._places.get(obj)
+        return self._index.get(obj)
 
     def _draw(self) -> None:
-        obj = self._drawn.getrandbits(64)
-        if obj and obj not in self._places:  # an object of 0 would stand for a group
-            self._places[obj] = len(self._objects)
+        obj = self._rng.getrandbits(64)
+        if obj and obj not in self._index:  # object 0 would denote a group
+            self._index[obj] = len(self._objects)
             self._objects.append(obj)
--- a/hallproxy/lab/capacity/fleet.py
+++ b/hallproxy/lab/capacity/fleet.py
@@ -1,8 +1,8 @@
-"""A list of members, and the settings to it, at any size: what the measurements of one gateway are made with.
+"""Endpoint lists of any size, and matching settings, for the measurements of one gateway.
 
-A region is one hub and up to three zones, as in the operators' plan (17 regions, 51 zones). Parents stand in
-their region's first zone, which is its hub; caches are spread over all zones in turn, the own one first.
-One member is the origin. All are warm unless a measurement says otherwise.
+A region is one hub and up to three zones, as in the operators' plan (17 regions, 51 zones). Parents are in
+their region's first zone, which is its hub; caches are assigned to all zones in turn, starting with the
+gateway's own. One member is the origin. All are warm unless a measurement sets otherwise.
 """
 
 import json
@@ -32,20 +32,20 @@
 
 
 def default_parent_count(members: int) -> int:
-    """How many of so many members are parents, where a measurement doesn't set it."""
+    """The number of parents among `members`, unless a measurement sets it."""
     return max(1, round((members - 1) / (1 + CACHES_PER_PARENT)))
 
 
 def settings_json(zones: int = ZONES, gateways: int = GATEWAYS, aim_ms: int = 400) -> Json:
-    """The settings as the configuration words them; the gateways stand evenly in the zones."""
-    named = {"aim_ns": aim_ms * MS, "aim_stretch": 2.0, "deadline_ns": 10 * SECOND, "dedup_scope": "all",
+    """Settings in the format of the configuration, with the gateways spread evenly over the zones."""
+    common = {"aim_ns": aim_ms * MS, "aim_stretch": 2.0, "deadline_ns": 10 * SECOND, "dedup_scope": "all",
              "effect": "pure", "key_ttl_ns": 5 * SECOND, "late_share": 0.15, "points": 2.0,
              "stream": False}  # fmt: skip
     return {
         "bounds": {"cancelling": True, "dial_timeout_ns": 2 * SECOND, "max_attempts": 6, "probes": False,
                    "max_retry_after_ns": SECOND, "retry_after": True, "second_copies": False,
                    "idle_close_ns": 60 * SECOND},
-        "classes": [named | {"name": "segment"}, named | {"name": "small"}],
+        "classes": [common | {"name": "segment"}, common | {"name": "small"}],
         "feedback": {"names": [], "source": "off"},
         "group_size": gateways, "me": 0, "membership_mode": "push", "tick_ns": 2 * MS,
         "weight_source": "nominal", "zone": 0,
@@ -68,27 +68,29 @@
 
 
 def endpoint_lines(
-    members: int, drawn: random.Random, zones: int = ZONES, parents: int | None = None, address: str = ""
+    members: int, rng: random.Random, zones: int = ZONES, parents: int | None = None, address: str = ""
 ) -> list[Json]:
-    """The list as the change log words it, in a drawn order; ids are new with each draw.
+    """The list's lines in the format of the change log, shuffled and with random ids.
 
-    ``address`` is everybody's; empty: each has one of its own. Raises ValueError for a list that has no room
-    for a cache beside its origin and parents.
+    All members have ``address``, or each its own if it is empty. Raises ValueError unless there is at least
+    one cache besides the origin and the parents.
     """
     parents = default_parent_count(members) if parents is None else parents
     caches, hubs = members - 1 - parents, hub_zones(zones)
     if caches < 1 or parents < 0:
-        raise ValueError(f"{members} members of which {parents} are parents")
-    idents = drawn.sample(range(1 << 32), members)
-    made = [_line(f"o-{idents[0]:08x}", "origin", 0, 60.0)]
-    made += [_line(f"p-{idents[1 + n]:08x}", "parent", hubs[n % len(hubs)], drawn.choice((20.5, 40.0, 58.0)))
+        raise ValueError(
+            f"{members} members with {parents} parents: at least one cache and 0 parents are required"
+        )
+    idents = rng.sample(range(1 << 32), members)
+    listed = [_line(f"o-{idents[0]:08x}", "origin", 0, 60.0)]
+    listed += [_line(f"p-{idents[1 + n]:08x}", "parent", hubs[n % len(hubs)], rng.choice((20.5, 40.0, 58.0)))
              for n in range(parents)]  # fmt: skip
-    made += [_line(f"s-{idents[1 + parents + n]:08x}", "std", n % zones, drawn.choice((8.0, 10.0, 12.0)))
+    listed += [_line(f"s-{idents[1 + parents + n]:08x}", "std", n % zones, rng.choice((8.0, 10.0, 12.0)))
              for n in range(caches)]  # fmt: skip
-    for n, line in enumerate(made):
+    for n, line in enumerate(listed):
         line["hostPort"] = address or f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8080"
-    drawn.shuffle(made)
-    return made
+    rng.shuffle(listed)
+    return listed
 
 
 def _line(ident: str, kind: str, zone: int, weight: float) -> Json:
@@ -97,7 +99,7 @@
 
 
 def page(entries: list[Json], seq: int | None = None) -> Json:
-    """One page of the change log: its events in order, numbered up to ``seq`` (as many as there are)."""
+    """One page of the change log with these events, numbered up to ``seq`` (default: their number)."""
     last = len(entries) if seq is None else seq
     first = last - len(entries) + 1
     return {"seq": last, "results": [{"seq": first + n, **entry} for n, entry in enumerate(entries)]}
@@ -108,10 +110,10 @@
 
 
 def list_change(line: Json, generation: int = 2, **changed: Any) -> Json:
-    """The news of one member's line: as it is, but for what has changed."""
+    """An event that changes the given fields of one member's line."""
     return {"fleet": {"generation": generation, "reset": False, "instances": [line | changed]}}
 
 
 def purge(obj: int, time_ms: int, group: int = 0) -> Json:
-    """An object's purge; with ``obj`` 0 the whole group's."""
+    """The purge of an object, or of the whole group if ``obj`` is 0."""
     return {"invalidate": {"object": f"{obj:016x}" if obj else "", "bucket": group, "time": time_ms}}
--- a/hallproxy/lab/capacity/hollow.py
+++ b/hallproxy/lab/capacity/hollow.py
@@ -1,14 +1,14 @@
-"""Hollow gateways: all of a gateway's control, with no clients and no listener, hundreds in a process.
+"""Hollow gateways: all of a gateway's control without clients or a listener, hundreds in one process.
 
     python -m hallproxy.lab.capacity.hollow --at 127.0.0.1:8080 --gateways 200 --members 150 --seed 1
 
-Each has its own poller, loop, state, module and tables, as a gateway has. Settings and list are decoded once
-and shared, as nothing changes them. The process says when all of them have heard the log, and obeys `report`
-on standard input. Each purge is counted by its place in the order that the seed gives: one that is passed
-over is lost, one that comes again is twice.
+Like a real gateway, each has its own poller, loop, state, module and tables. Settings and list are decoded
+once and shared, as nothing changes them. The process reports when all have caught up with the log, and runs
+`report`, `least` and `connects` from standard input. Each purge is identified by its index in the sequence of
+the seed: a skipped one counts as `lost`, a repeated one as `twice`.
 
-With `--light` followers poll and count alone: pages are read once for all that got the same. They stand for
-followers of whom only the log's or relay's side is looked at.
+With `--light`, followers only poll and count; each distinct page is parsed once for all of them. They are for
+measurements of the log's or relay's side only.
 """
 
 from __future__ import annotations
@@ -46,52 +46,52 @@
 from hallproxy.wire.simulator_settings import settings_from_json
 
 MS = 1_000_000  # ns
-PURGES_MOST = 200_000  # that are counted one by one
-FIRST = 1  # the list's own number: what the configuration's `known` ends with
-RETRY = 0.05  # s from one connect of a light follower to the next
-CONNECTS_MOST = 20_000  # that are noted with their time
-WAIT = 1_000  # ms that a light follower's poll is held
+MAX_PURGES = 200_000  # counted one by one
+FIRST = 1  # the list's sequence number, the last one in the configuration's `known`
+RECONNECT_DELAY = 0.05  # s between two connects of a light follower
+MAX_CONNECTS = 20_000  # recorded with their time
+POLL_WAIT_MS = 1_000  # of a light follower
 
 
 class Tally:
-    """What all followers of this process have held."""
+    """What all followers of this process have received."""
 
-    def __init__(self, purged: fleet.PurgeSequence) -> None:
-        self._purged = purged
-        self.held = array("I")  # by a purge's place: how many followers hold it
-        self.delay = array("q")  # by a purge's place: us from its own time until the last one did
+    def __init__(self, purges: fleet.PurgeSequence) -> None:
+        self._purge_sequence = purges
+        self.holders = array("I")  # by a purge's index: the number of followers that hold it
+        self.delay = array("q")  # by a purge's index: us from its timestamp until the last follower held it
         self.lost = self.twice = self.foreign = self.groups = self.lists = 0
         self.connects = self.bytes_in = self.bytes_out = self.polls = 0
-        # Unix ms and port of connects, the last ones.
-        self.connected: deque[tuple[int, int]] = deque(maxlen=CONNECTS_MOST)
+        # Unix ms and port of the last connects.
+        self.connected: deque[tuple[int, int]] = deque(maxlen=MAX_CONNECTS)
 
-    def connects_to(self, where: Address) -> None:
+    def record_connect(self, target: Address) -> None:
         self.connects += 1
-        self.connected.append((time.time_ns() // MS, where[1]))
+        self.connected.append((time.time_ns() // MS, target[1]))
 
     def record_purge(self, follower: Follower, obj: int, at_ms: int) -> None:
-        """A follower holds this purge now, which was made at `at_ms`."""
-        place = self._purged.place(obj, PURGES_MOST)
-        if place is None:
+        """Record that a follower received this purge, whose timestamp is `at_ms`."""
+        index = self._purge_sequence.index_of(obj, MAX_PURGES)
+        if index is None:
             self.foreign += 1
             return
-        if place < follower.next_index:
+        if index < follower.next_index:
             self.twice += 1
             return
-        self.lost += place - follower.next_index
-        follower.next_index = place + 1
-        while len(self.held) <= place:
-            self.held.append(0)
+        self.lost += index - follower.next_index
+        follower.next_index = index + 1
+        while len(self.holders) <= index:
+            self.holders.append(0)
             self.delay.append(0)
-        self.held[place] += 1
-        self.delay[place] = time.time_ns() // 1_000 - at_ms * 1_000
+        self.holders[index] += 1
+        self.delay[index] = time.time_ns() // 1_000 - at_ms * 1_000
 
     def report(self, followers: Sequence[Follower]) -> Command:
         return {
             "followers": len(followers),
             "least": min(f.next_index for f in followers),
             "most": max(f.next_index for f in followers),
-            "held": self.held.tolist(),
+            "held": self.holders.tolist(),
             "delay_us": self.delay.tolist(),
             "lost": self.lost,
             "twice": self.twice,
@@ -107,18 +107,18 @@
 
 
 class Follower:
-    """Who holds purges: `next_index` is the place of the next one."""
+    """A receiver of purges: `next_index` is the index of the next one."""
 
     next_index = 0
 
 
 class CountedStream(Stream):
-    """The poller's stream, whose connects and bytes are counted."""
+    """The poller's stream, with its connects and bytes counted."""
 
     tally: Tally
 
     def connect(self: Self, address: Any, server_hostname: str | None = None) -> asyncio.Future[Self]:
-        self.tally.connects_to(address)
+        self.tally.record_connect(address)
         return super().connect(address, server_hostname)
 
     def write_pieces(self, pieces: Sequence[bytes]) -> None:
@@ -132,15 +132,15 @@
         return size
 
     @classmethod
-    def made(cls, sock: socket.socket) -> Stream:
-        """As `sockets.tcp_stream` creates one."""
-        made = cls(sock, max_buffer_size=1 << 40, read_chunk_size=65_536)
-        made.set_nodelay(True)
-        return made
+    def create(cls, sock: socket.socket) -> Stream:
+        """With the same options as `sockets.tcp_stream`."""
+        stream = cls(sock, max_buffer_size=1 << 40, read_chunk_size=65_536)
+        stream.set_nodelay(True)
+        return stream
 
 
 class NoStores:
-    """Nobody asks for anything, so no connection to a store is ever wanted."""
+    """Without clients there are no requests, so a connection to a store is an error."""
 
     def open(self, link: int, address: str) -> None:
         raise AssertionError("a hollow gateway connects to no store")
@@ -172,68 +172,68 @@
 def hollow_gateways(count: int, members: int, seed: int, tally: Tally) -> list[HollowGateway]:
     settings = settings_from_json(json.dumps(fleet.settings()).encode())
     bounds = Limits(local_cache_bytes=24 * MB)
-    known = {"seq": FIRST, "results": [{"seq": FIRST, "fleet": fleet.list_event(members)}]}
-    made = []
-    told = [
-        event for _, event in decode_events(known, 0, settings, time.time_ns(), True, live=False) if event
+    list_page = {"seq": FIRST, "results": [{"seq": FIRST, "fleet": fleet.list_event(members)}]}
+    gateways = []
+    events = [
+        event for _, event in decode_events(list_page, 0, settings, time.time_ns(), True, live=False) if event
     ]
     for number in range(count):
-        hollow = HollowGateway(GatewayState(settings, Router(settings, seed + number), bounds), tally)
-        for event in told:
-            hollow.dispatch(event)
-        hollow.dispatch(WatchCaughtUp(hollow.now()))
-        made.append(hollow)
+        gateway = HollowGateway(GatewayState(settings, Router(settings, seed + number), bounds), tally)
+        for event in events:
+            gateway.dispatch(event)
+        gateway.dispatch(WatchCaughtUp(gateway.now()))
+        gateways.append(gateway)
     tally.lists = 0
-    return made
+    return gateways
 
 
 # Light followers ------------------------------------------------------------------------------------------
 
 _LENGTH = re.compile(rb"\r\ncontent-length: *(\d+)", re.IGNORECASE)
-Page = list[tuple[int, int, int]]  # number, object (0: none), its own time in ms
+Page = list[tuple[int, int, int]]  # sequence number, object (0: none), timestamp in ms
 
 
-class Pages:
-    """Pages that have been read, by their bytes."""
+class PageCache:
+    """Parsed pages by their bytes."""
 
     def __init__(self) -> None:
-        self._read: OrderedDict[bytes, Page] = OrderedDict()
+        self._parsed: OrderedDict[bytes, Page] = OrderedDict()
 
-    def read(self, body: bytes, zipped: bool) -> Page:
-        page = self._read.get(body)
+    def parse(self, body: bytes, compressed: bool) -> Page:
+        page = self._parsed.get(body)
         if page is None:
             page = []
-            for event in json.loads(gzip.decompress(body) if zipped else body)["results"]:
-                gone = event.get("invalidate", {})
-                page.append((event["seq"], int(gone.get("object", "0"), 16), gone.get("time", 0)))
-            self._read[body] = page
-            if len(self._read) > 16:
-                self._read.popitem(last=False)
+            for event in json.loads(gzip.decompress(body) if compressed else body)["results"]:
+                purge = event.get("invalidate", {})
+                page.append((event["seq"], int(purge.get("object", "0"), 16), purge.get("time", 0)))
+            self._parsed[body] = page
+            if len(self._parsed) > 16:
+                self._parsed.popitem(last=False)
         return page
 
 
 class LightFollower(Follower, asyncio.Protocol):
-    """A follower that polls and counts alone. What it is told must be contiguous."""
+    """A follower that only polls and counts. The sequence numbers that it receives must be contiguous."""
 
-    def __init__(self, where: Address, tally: Tally, pages: Pages, coding: bytes) -> None:
-        self._where, self._tally, self._pages, self._coding = where, tally, pages, coding
-        self._came = b""
+    def __init__(self, target: Address, tally: Tally, pages: PageCache, encoding: bytes) -> None:
+        self._target, self._tally, self._pages, self._encoding = target, tally, pages, encoding
+        self._received = b""
         self.since = FIRST
-        self.heard = False
-        self._wait = 0
+        self.caught_up = False
+        self._wait_ms = 0
 
     async def run(self) -> None:
         running = asyncio.get_running_loop()
         while True:
-            self._lost = running.create_future()
-            self._came = b""
+            self._closed = running.create_future()
+            self._received = b""
             try:
-                self._tally.connects_to(self._where)
-                await running.create_connection(lambda: self, *self._where)
-                await self._lost
+                self._tally.record_connect(self._target)
+                await running.create_connection(lambda: self, *self._target)
+                await self._closed
             except OSError as error:
-                print(f"light: {error}", file=sys.stderr, flush=True)
-            await asyncio.sleep(RETRY)
+                print(f"light follower: connection failed: {error}", file=sys.stderr, flush=True)
+            await asyncio.sleep(RECONNECT_DELAY)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -241,33 +241,33 @@
         self._poll()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self._lost.done():
-            self._lost.set_result(None)
+        if not self._closed.done():
+            self._closed.set_result(None)
 
     def _poll(self) -> None:
-        said = b"GET /changes?since=%d&timeout=%d HTTP/1.1\r\nHost: %s:%d\r\n%s\r\n" % (
-            self.since, self._wait, self._where[0].encode(), self._where[1], self._coding,
+        request = b"GET /changes?since=%d&timeout=%d HTTP/1.1\r\nHost: %s:%d\r\n%s\r\n" % (
+            self.since, self._wait_ms, self._target[0].encode(), self._target[1], self._encoding,
         )  # fmt: skip
         self._tally.polls += 1
-        self._tally.bytes_out += len(said)
-        self._transport.write(said)
+        self._tally.bytes_out += len(request)
+        self._transport.write(request)
 
     def data_received(self, data: bytes) -> None:
         self._tally.bytes_in += len(data)
-        self._came += data
-        at = self._came.find(b"\r\n\r\n")
-        if at < 0:
+        self._received += data
+        head_end = self._received.find(b"\r\n\r\n")
+        if head_end < 0:
             return
-        head = self._came[:at]
+        head = self._received[:head_end]
         length = _LENGTH.search(head)
         if not head.startswith(b"HTTP/1.1 200 ") or length is None:
-            print(f"light: {head[:60]!r}", file=sys.stderr, flush=True)
+            print(f"light follower: unexpected response: {head[:60]!r}", file=sys.stderr, flush=True)
             self._transport.abort()
             return
-        if len(self._came) < at + 4 + int(length[1]):
+        if len(self._received) < head_end + 4 + int(length[1]):
             return
-        body, self._came = self._came[at + 4 :], b""
-        for seq, obj, at_ms in self._pages.read(body, b"gzip" in head):
+        body, self._received = self._received[head_end + 4 :], b""
+        for seq, obj, at_ms in self._pages.parse(body, b"gzip" in head):
             if seq <= self.since:
                 continue
             if seq != self.since + 1:
@@ -279,7 +279,7 @@
                 self._tally.groups += 1
             else:
                 self._tally.lists += 1
-        self.heard, self._wait = True, WAIT
+        self.caught_up, self._wait_ms = True, POLL_WAIT_MS
         self._poll()
 
 
@@ -290,31 +290,31 @@
     empty_mb = own_usage()["peak_mb"]
     tally = Tally(fleet.PurgeSequence(args.seed))
     addresses = tuple(map(address, args.at.split(",")))
-    where = addresses[0]
+    target = addresses[0]
     followers: Sequence[Follower]
     tasks: list[asyncio.Future[Any]]
     if args.light:
-        coding = b"Accept-Encoding: gzip\r\n" if args.gzip else b""
-        pages = Pages()
-        light = [LightFollower(where, tally, pages, coding) for _ in range(args.gateways)]
+        encoding = b"Accept-Encoding: gzip\r\n" if args.gzip else b""
+        pages = PageCache()
+        light = [LightFollower(target, tally, pages, encoding) for _ in range(args.gateways)]
         followers = light
-        tasks = [asyncio.ensure_future(one.run()) for one in light]
-        while not all(one.heard for one in light):
+        tasks = [asyncio.ensure_future(follower.run()) for follower in light]
+        while not all(follower.caught_up for follower in light):
             await asyncio.sleep(0.01)
     else:
         CountedStream.tally = tally
-        poll_connection.tcp_stream = CountedStream.made  # type: ignore[attr-defined]
-        made = hollow_gateways(args.gateways, args.members, args.first, tally)
-        followers = made
+        poll_connection.tcp_stream = CountedStream.create  # type: ignore[attr-defined]
+        hollows = hollow_gateways(args.gateways, args.members, args.first, tally)
+        followers = hollows
         gc.collect()
         gc.freeze()
-        others = len(addresses) > 1
+        several = len(addresses) > 1
         pollers = []
-        for number, one in enumerate(made, args.first):
+        for number, hollow in enumerate(hollows, args.first):
             name = f"hollow-{number}"
-            many = SourceSelection(name, addresses, args.spread_ms / 1000, Random(name))
-            whom: Address | SourceSelection = many if others or args.gzip else where
-            pollers.append(Poller(one, whom, FIRST, others))
+            selection = SourceSelection(name, addresses, args.spread_ms / 1000, Random(name))
+            source: Address | SourceSelection = selection if several or args.gzip else target
+            pollers.append(Poller(hollow, source, FIRST, several))
         tasks = [asyncio.ensure_future(one.run()) for one in pollers]
         for poller in pollers:
             await poller.wait_until_current()
@@ -322,7 +322,7 @@
 
     def do(command: Command) -> Command:
         if command["do"] == "least":
-            return {"least": min(one.next_index for one in followers)}
+            return {"least": min(follower.next_index for follower in followers)}
         if command["do"] == "connects":
             return {"connects": list(tally.connected)}
         return tally.report(followers)
@@ -335,18 +335,20 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="hallproxy.lab.capacity.hollow", description="Hollow gateways.")
-    parser.add_argument("--at", required=True, help="addresses of a change log or of relays, with commas")
+    parser.add_argument("--at", required=True, help="comma-separated addresses of a change log or of relays")
     parser.add_argument("--gateways", type=int, required=True)
     parser.add_argument("--members", type=int, default=150, help="stores on the list")
-    parser.add_argument("--seed", type=int, default=1, help="of the purges")
+    parser.add_argument("--seed", type=int, default=1, help="seed of the purges")
     parser.add_argument("--first", type=int, default=0, help="number of the first gateway")
-    parser.add_argument("--seconds", type=float, default=60.0, help="after which it ends by itself")
-    parser.add_argument("--light", action="store_true", help="followers that poll and count alone")
-    parser.add_argument("--gzip", action="store_true", help="ask for it")
-    parser.add_argument("--spread-ms", type=int, default=500, help="how long a change of address may take")
+    parser.add_argument("--seconds", type=float, default=60.0, help="time limit after which it exits")
+    parser.add_argument("--light", action="store_true", help="followers that only poll and count")
+    parser.add_argument("--gzip", action="store_true", help="request gzip responses")
+    parser.add_argument(
+        "--spread-ms", type=int, default=500, help="time over which a change of address is spread"
+    )
     args = parser.parse_args(argv)
     if args.gateways > max_connections():
-        parser.error(f"the limit of descriptors leaves room for {max_connections()} connections")
+        parser.error(f"--gateways: the limit of descriptors allows {max_connections()} connections")
     asyncio.run(serve(args))
     return 0
 
--- a/hallproxy/lab/capacity/process.py
+++ b/hallproxy/lab/capacity/process.py
@@ -88,11 +88,11 @@
         if not found:
             self._received = head
             return
-        asked = _POLL_REQUEST.match(head + b"\r\n")
-        if asked is None:
+        request = _POLL_REQUEST.match(head + b"\r\n")
+        if request is None:
             self._counts.unread += 1
             return self._transport.close()
-        since, wait = int(asked[1]), int(asked[2])
+        since, wait = int(request[1]), int(request[2])
         self._counts.heard = max(self._counts.heard, since)
         events = [entry for entry in self._page["results"] if entry["seq"] > since]
         body = json.dumps({"seq": self._page["seq"], "results": events}).encode()
@@ -128,11 +128,11 @@
         if not found:
             self._received = head
             return
-        asked = _OBJECT_REQUEST.match(head + b"\r\n")
-        if asked is None:
+        request = _OBJECT_REQUEST.match(head + b"\r\n")
+        if request is None:
             self._counts.unread += 1
             return self._transport.close()
-        self._row = int(asked[2], 16)
+        self._row = int(request[2], 16)
         self._counts.asked += 1
         StoreConnection.waiting.append(self)
         if len(StoreConnection.waiting) >= self._hold:
@@ -198,12 +198,18 @@
     """The process of one gateway. It is ready once its port accepts connections."""
 
     def __init__(
-        self, where: Path, name: str, known: fleet.Json, log: str, settings: fleet.Json, sockets: int = 1024
+        self,
+        directory: Path,
+        name: str,
+        known: fleet.Json,
+        log: str,
+        settings: fleet.Json,
+        sockets: int = 1024,
     ) -> None:
         config = {"name": name, "listen": "127.0.0.1:0", "seed": "8c1f", "known": known, "changelog": log,
                   "limits": {"memory_mb": 256, "sockets": sockets}, "settings": settings,
                   "flow_bytes_per_s": 10**7, "link_bytes_per_s": 10**8}  # fmt: skip
-        path = where / f"{name}.json"
+        path = directory / f"{name}.json"
         path.write_text(json.dumps(config))
         self.known_kb = len(json.dumps(known)) / 1e3
         env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
@@ -266,16 +272,16 @@
 
 @contextmanager
 def gateway(
-    where: Path, known: fleet.Json, log: str, settings: fleet.Json, sockets: int = 1024
+    directory: Path, known: fleet.Json, log: str, settings: fleet.Json, sockets: int = 1024
 ) -> Iterator[Gateway]:
     """One ready gateway. It is killed at the end, as its shutdown isn't measured."""
-    made = Gateway(where, "n1", known, log, settings, sockets)
+    started = Gateway(directory, "n1", known, log, settings, sockets)
     try:
-        yield made.ready()
+        yield started.ready()
     finally:
-        made.kill()
-    if made.faults():
-        raise MeasurementError(f"the gateway's log reports faults: {made.faults()[:2]}")
+        started.kill()
+    if started.faults():
+        raise MeasurementError(f"the gateway's log reports faults: {started.faults()[:2]}")
 
 
 def small_list(address: str, caches: int = 4) -> list[fleet.Json]:
--- a/hallproxy/lab/capacity/program.py
+++ b/hallproxy/lab/capacity/program.py
@@ -15,7 +15,7 @@
 """A gateway's limits if its configuration sets none (`run/config.py`)."""
 _SETTINGS = Settings(
     (RequestClass(SECOND, SECOND),), 0, (0,), 1, 2, 1.0, 0, 1.0, SECOND, 0, 0
-)  # only the idle timeout of stores is read, and it is unset
+)  # only the idle timeout of stores is read from them, and it is unset
 BOUNDS = limits.derive_limits(Config("", ("", 0), 0, MEMORY_MB, SOCKETS, None, 0, 0, {}, _SETTINGS))
 """The limits derived from them, on a machine that allows a process as many descriptors."""
 PARTS = SIZE.gateway_rate * SIZE.body_kb / PART_KB
--- a/hallproxy/lab/capacity/runner.py
+++ b/hallproxy/lab/capacity/runner.py
@@ -43,28 +43,28 @@
     Return the failed results.
     """
     machine, version, started_at, failed = results.machine(), results.version(), now(), []
-    for one in chosen:
+    for measurement in chosen:
         for repeat in range(plan.repeats):
-            for x in one.tiny if plan.tiny else one.sizes:
+            for x in measurement.tiny if plan.tiny else measurement.sizes:
                 at, load, seed = now(), os.getloadavg()[0], plan.seed + repeat
-                values, why = measure(one, x, seed, plan.tiny)
-                result = results.Result(one.name, x, values, why, repeat, seed, plan.tiny, started_at,
+                values, why = measure(measurement, x, seed, plan.tiny)
+                result = results.Result(measurement.name, x, values, why, repeat, seed, plan.tiny, started_at,
                                         at, load, machine, version)  # fmt: skip
                 results.append(out, result)
-                say(f"{one.name} {x:g}: {why or json.dumps(values)}")
+                say(f"{measurement.name} {x:g}: {why or json.dumps(values)}")
                 if why:
                     failed.append(result)
     return failed
 
 
-def measure(one: Measurement, x: float, seed: int, tiny: bool) -> tuple[Measured, str]:
+def measure(measurement: Measurement, x: float, seed: int, tiny: bool) -> tuple[Measured, str]:
     """The values, or the reason why there are none. No process of the measurement is left in either case."""
     with tempfile.TemporaryDirectory(prefix="capacity-") as scratch:
         where, outcome, mark = Path(scratch, "where"), Path(scratch, "outcome.json"), uuid.uuid4().hex
         where.mkdir()
-        task = {"name": one.name, "x": x, "seed": seed, "tiny": tiny,
+        task = {"name": measurement.name, "x": x, "seed": seed, "tiny": tiny,
                 "where": str(where), "outcome": str(outcome)}  # fmt: skip
-        limit, timed_out = one.minutes * 60, False
+        limit, timed_out = measurement.minutes * 60, False
         process: subprocess.Popen[bytes] | None = None
         try:
             with _termination_deferred():
@@ -83,7 +83,7 @@
                 _kill_all(process, mark)
         if timed_out:
             return {}, f"over its limit of {limit:g} s"
-        values, why = _read_outcome(one, outcome, process.returncode)
+        values, why = _read_outcome(measurement, outcome, process.returncode)
         if remaining:
             values, why = {}, "; ".join([*([why] if why else []), f"left {remaining} processes running"])
         return values, _one_line(why, scratch)
@@ -113,7 +113,7 @@
     return " ".join(shown.split())[:MAX_REASON_LENGTH]
 
 
-def _read_outcome(one: Measurement, outcome: Path, status: int) -> tuple[Measured, str]:
+def _read_outcome(measurement: Measurement, outcome: Path, status: int) -> tuple[Measured, str]:
     try:
         reported = json.loads(outcome.read_text("utf-8"))
     except (OSError, ValueError):
@@ -121,7 +121,7 @@
     if status != 0 or "failed" in reported:
         return {}, str(reported.get("failed") or f"ended with status {status}")
     values = reported["values"]
-    if values.keys() != {quantity.name for quantity in one.quantities}:
+    if values.keys() != {quantity.name for quantity in measurement.quantities}:
         return {}, f"gave {', '.join(sorted(values))}"
     for name, value in values.items():
         if value is not None and not results.is_figure(value):
--- a/tests/lab/test_capacity_measures.py
+++ b/tests/lab/test_capacity_measures.py
@@ -1,4 +1,4 @@
-"""What the capacity measurements are made with: the list of any size, the stand-ins, the client's counts."""
+"""The tools of the capacity measurements: lists of any size, the stand-ins, the client's counts."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from tests.support.gateway import Listener
 
 
-def tiny(where: Path, seed: int = 7) -> Run:
-    return Run(seed, True, random.Random(seed), where)
+def tiny(scratch_dir: Path, seed: int = 7) -> Run:
+    return Run(seed, True, random.Random(seed), scratch_dir)
 
 
 @pytest.mark.parametrize("members", [150, 1500, 5000])
@@ -37,22 +37,22 @@
     assert len(set(settings.zone_hub)) == 17 and len(settings.zone_hub) == 51
     assert sum(settings.gateways_by_zone) == settings.gateway_count == 7_100
     assert max(settings.gateways_by_zone) - min(settings.gateways_by_zone) == 1
-    made = [decode_endpoint(line, settings) for line in fleet.endpoint_lines(members, random.Random(1))]
-    kinds = Counter(member.kind for member, _ in made)
+    decoded = [decode_endpoint(line, settings) for line in fleet.endpoint_lines(members, random.Random(1))]
+    kinds = Counter(member.kind for member, _ in decoded)
     assert kinds == {
         0: members - 1 - fleet.default_parent_count(members),
         1: fleet.default_parent_count(members),
         2: 1,
     }
-    assert {m.zone for m, _ in made if m.kind == 0} == set(range(51))
-    assert {m.zone for m, _ in made if m.kind == 1} == set(settings.zone_hub)
-    spread = Counter(m.zone for m, _ in made if m.kind == 0)
+    assert {m.zone for m, _ in decoded if m.kind == 0} == set(range(51))
+    assert {m.zone for m, _ in decoded if m.kind == 1} == set(settings.zone_hub)
+    spread = Counter(m.zone for m, _ in decoded if m.kind == 0)
     assert max(spread.values()) - min(spread.values()) <= 1
-    assert len({m.id for m, _ in made}) == len({address for _, address in made}) == members
-    assert all(m.state is EndpointState.READY and not m.started_at for m, _ in made)
+    assert len({m.id for m, _ in decoded}) == len({address for _, address in decoded}) == members
+    assert all(m.state is EndpointState.READY and not m.started_at for m, _ in decoded)
 
 
-def test_the_list_is_the_same_for_a_seed_and_another_for_another_one() -> None:
+def test_the_list_is_the_same_for_one_seed_and_differs_for_another() -> None:
     assert fleet.endpoint_lines(40, random.Random(1)) == fleet.endpoint_lines(40, random.Random(1))
     assert fleet.endpoint_lines(40, random.Random(1)) != fleet.endpoint_lines(40, random.Random(2))
 
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("members, parents", [(1, 0), (4, 3), (4, -1)])
-def test_a_list_without_room_for_a_cache_is_turned_away(members: int, parents: int) -> None:
+def test_a_list_without_a_cache_is_rejected(members: int, parents: int) -> None:
     with pytest.raises(ValueError, match="parents"):
         fleet.endpoint_lines(members, random.Random(1), parents=parents)
 
@@ -81,53 +81,55 @@
     assert (gateway.ready(), gateway.heard, list(gateway.state.purges.objects)) == (7, 3, [5])
 
 
-def test_a_decision_that_gets_no_attempt_is_no_measurement() -> None:
+def test_a_decision_without_an_attempt_fails_the_measurement() -> None:
     decider = decisions.Decider(fleet.settings(3), (), 1)
     with pytest.raises(MeasurementError, match="no attempt"):
         decider.one(1)
 
 
-def test_purges_that_are_over_leave_no_floor(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """At the operators' rate: 6 s until one is done, a second, twice the deadline of 10 s."""
-    kept = 27 * purges.RATE + 1
-    for many in (MAX_PURGES, MAX_PURGES + 1, 20_000):
-        got = purges.held(many, tiny(tmp_path))
-        assert (got["held"], got["floor_reached"], got["floor_age_s"]) == (kept, 0.0, None)
+def test_expired_purges_leave_no_floor(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """At the operators' rate a purge stays for 27 s: 6 s until it is done, 1 s, twice the 10 s deadline."""
+    expected = 27 * purges.RATE + 1
+    for count in (MAX_PURGES, MAX_PURGES + 1, 20_000):
+        got = purges.held(count, tiny(tmp_path))
+        assert (got["held"], got["floor_reached"], got["floor_age_s"]) == (expected, 0.0, None)
     monkeypatch.setattr(PurgeTable, "expire", lambda *_: None)
     with pytest.raises(MeasurementError, match="are held"):
         purges.held(MAX_PURGES, tiny(tmp_path))
 
 
-def test_the_purges_floor_shows_where_the_table_is_full(
+def test_the_purge_floor_appears_once_the_table_is_full(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Where a purge is done everywhere after a minute only, the table fills up before any is over."""
+    """If a purge is done everywhere only after a minute, the table is full before any expires."""
     slow = replace(fleet.settings(), purge_duration=60 * fleet.SECOND)
     monkeypatch.setattr(fleet, "settings", lambda: slow)
-    inside = purges.held(MAX_PURGES, tiny(tmp_path))
-    assert (inside["held"], inside["floor_reached"], inside["floor_age_s"]) == (MAX_PURGES, 0.0, None)
-    over = purges.held(MAX_PURGES + 1, tiny(tmp_path))
-    assert (over["held"], over["floor_reached"]) == (MAX_PURGES, 1.0)
-    assert over["floor_age_s"] == pytest.approx(MAX_PURGES / purges.RATE, abs=1e-6)
-    monkeypatch.setattr(purges, "MAX_PURGES", 20)  # the measurement counts by another bound than the table's
+    at_limit = purges.held(MAX_PURGES, tiny(tmp_path))
+    assert (at_limit["held"], at_limit["floor_reached"], at_limit["floor_age_s"]) == (MAX_PURGES, 0.0, None)
+    above_limit = purges.held(MAX_PURGES + 1, tiny(tmp_path))
+    assert (above_limit["held"], above_limit["floor_reached"]) == (MAX_PURGES, 1.0)
+    assert above_limit["floor_age_s"] == pytest.approx(MAX_PURGES / purges.RATE, abs=1e-6)
+    monkeypatch.setattr(
+        purges, "MAX_PURGES", 20
+    )  # the measurement now expects a lower limit than the table's
     with pytest.raises(MeasurementError):
         purges.held(40, tiny(tmp_path))
 
 
-def test_counted_objects_never_pass_the_module_s_bound(tmp_path: Path) -> None:
+def test_counted_objects_never_exceed_the_module_s_limit(tmp_path: Path) -> None:
     assert decisions.objects(COUNTS_MAX, tiny(tmp_path))["counted"] == COUNTS_MAX
     counted = decisions.objects(COUNTS_MAX + 1_000, tiny(tmp_path))["counted"]
     assert counted is not None and counted <= COUNTS_MAX
 
 
 @pytest.mark.timing("compares processor times")
-def test_processor_time_is_that_of_the_process_asked_for() -> None:
+def test_processor_time_is_that_of_the_given_process() -> None:
     before, own = process.processor_s(os.getpid()), time.process_time()
     while time.process_time() < own + 0.05:
         pass
     assert process.processor_s(os.getpid()) - before >= 0.05
     with pytest.raises(MeasurementError, match="no processor time"):
-        process.processor_s(2**22 + 1)  # over the highest id there can be
+        process.processor_s(2**22 + 1)  # above the highest possible process id
 
 
 def test_the_client_counts_what_is_short_wrong_or_missing() -> None:
@@ -142,8 +144,8 @@
             wrong.check(2, 10)
 
 
-class Front(asyncio.Protocol):
-    """Answers each frame with the same bytes, in two writes."""
+class FakeGateway(asyncio.Protocol):
+    """Responds to each frame with `answer` of its stream, in two writes."""
 
     def __init__(self, answer: Callable[[int], bytes]) -> None:
         self._answer = answer
@@ -155,10 +157,10 @@
     def data_received(self, data: bytes) -> None:
         while data:
             frame, size = frames.next_frame(memoryview(data)) or (None, len(data))
-            assert frame is not None, "the client writes whole frames"
-            said = self._answer(frame.stream)
-            self._transport.write(said[:7])
-            asyncio.get_running_loop().call_soon(self._transport.write, said[7:])
+            assert frame is not None, "the client writes complete frames"
+            response = self._answer(frame.stream)
+            self._transport.write(response[:7])
+            asyncio.get_running_loop().call_soon(self._transport.write, response[7:])
             data = data[size:]
 
 
@@ -171,13 +173,13 @@
         (frames.REJECTED, b"", ResponseCounts(3, 0, 0, 0)),
     ],
 )
-def test_the_client_looks_at_every_answer(code: int, body: bytes, counted: ResponseCounts) -> None:
+def test_the_client_checks_every_response(code: int, body: bytes, counted: ResponseCounts) -> None:
     def answer(stream: int) -> bytes:
         return b"".join(frames.encode_frame(frames.RESPONSE, stream, bytes((code, 0)), body))
 
     async def ask() -> ResponseCounts:
         running = asyncio.get_running_loop()
-        server = await running.create_server(lambda: Front(answer), "127.0.0.1", 0)
+        server = await running.create_server(lambda: FakeGateway(answer), "127.0.0.1", 0)
         client = Client(server.sockets[0].getsockname()[1], 100, 2)
         await client.open()
         await client.closed_loop([5, 5, 5], 2)
@@ -188,7 +190,7 @@
     assert asyncio.run(ask()) == counted
 
 
-def test_a_store_s_body_belongs_to_its_object() -> None:
+def test_a_store_s_body_depends_on_its_object() -> None:
     assert process.object_body(1, 20) == (b"\0" * 7 + b"\1") * 2 + b"\0" * 4
     assert len(process.object_body(9, 239_616)) == 239_616 and process.object_body(
         9, 8
@@ -196,7 +198,7 @@
 
 
 @pytest.mark.parametrize("links", [8, 16, 64, 256])
-def test_the_limit_of_sockets_leaves_so_many_for_stores(links: int) -> None:
+def test_the_socket_limit_leaves_the_given_number_for_stores(links: int) -> None:
     sockets = stores.sockets_for(links)
     assert sockets - sockets * 2 // 5 - RESERVED_DESCRIPTORS == links
 
@@ -222,7 +224,7 @@
     assert made.process.returncode is not None and not Path(f"/proc/{made.pid}").exists()
 
 
-def test_a_gateway_that_can_t_start_is_no_measurement(tmp_path: Path) -> None:
+def test_a_gateway_that_can_t_start_fails_the_measurement(tmp_path: Path) -> None:
     with (
         pytest.raises(MeasurementError, match="the gateway ended"),
         process.gateway(tmp_path, {"seq": 0, "results": []}, "nowhere", process.one_zone_settings()),
@@ -230,26 +232,24 @@
         pass
 
 
-AWAY = b"HTTP/1.1 503 X\r\nRetry-After: 1\r\nContent-Length: 2\r\n\r\nno"
-GOOD = b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\nyes"
+REJECTED = b"HTTP/1.1 503 X\r\nRetry-After: 1\r\nContent-Length: 2\r\n\r\nno"
+SERVED = b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\nyes"
 
 
 @pytest.mark.parametrize(
     "answers, wrong",
     [
-        ([AWAY, GOOD], ""),
-        ([AWAY.replace(b"Retry-After: 1", b"X-Other: 1"), GOOD], "503"),
-        ([AWAY.replace(b"503", b"404"), GOOD], "404"),
+        ([REJECTED, SERVED], ""),
+        ([REJECTED.replace(b"Retry-After: 1", b"X-Other: 1"), SERVED], "503"),
+        ([REJECTED.replace(b"503", b"404"), SERVED], "404"),
         ([b""], "ended"),
     ],
 )
-def test_only_a_request_that_is_told_when_to_come_back_is_asked_again(
-    answers: list[bytes], wrong: str
-) -> None:
-    def serve(made: socket.socket) -> None:
+def test_only_a_rejection_with_retry_after_is_retried(answers: list[bytes], wrong: str) -> None:
+    def serve(connection: socket.socket) -> None:
         for answer in answers:
-            made.recv(4096)
-            made.sendall(answer)
+            connection.recv(4096)
+            connection.sendall(answer)
 
     listener = Listener(serve)
     client = second.Kept(int(listener.address.rpartition(":")[2]))
@@ -263,6 +263,6 @@
 
 
 def test_an_index_lists_its_files_by_digest() -> None:
-    said = json.loads(second.index_of("p", {"p-1.whl": b"x"}))
-    assert said["name"] == "p" and [file["size"] for file in said["files"]] == [1]
-    assert len(said["files"][0]["hashes"]["sha256"]) == 64
+    index = json.loads(second.index_of("p", {"p-1.whl": b"x"}))
+    assert index["name"] == "p" and [file["size"] for file in index["files"]] == [1]
+    assert len(index["files"][0]["hashes"]["sha256"]) == 64
--- a/tests/lab/test_capacity_tiny_run.py
+++ b/tests/lab/test_capacity_tiny_run.py
@@ -1,6 +1,6 @@
-"""All capacity measurements at their tiny sizes, by the command line.
+"""All capacity measurements at their tiny sizes, through the command line.
 
-The long test stands first: pytest-xdist then gives this module's worker no other module to wait behind it.
+The long test is first: pytest-xdist then gives this module's worker no other module to wait behind it.
 """
 
 from __future__ import annotations
@@ -20,38 +20,40 @@
 from tests.support.capacity_runs import run_tiny
 from tests.support.gateway import ROOT, until
 
-LONGEST = 600.0
-"""s that all tiny sizes together may take; a bound against hanging, not on speed."""
+TINY_RUN_TIMEOUT = 600.0
+"""s for all tiny sizes together; guards against a hang, not a limit on speed."""
 
 
 def test_everything_runs_at_a_tiny_size_and_leaves_no_process(tmp_path: Path) -> None:
-    """Measurements assert their own counts, bytes and bounds; here: that each gave all its lines."""
+    """Measurements check their own counts, bytes and bounds; this checks that each wrote all its lines."""
     out, page_copy = tmp_path / "out.jsonl", tmp_path / "page.md"
-    words = [sys.executable, "-m", "hallproxy.lab.capacity"]
+    program = [sys.executable, "-m", "hallproxy.lab.capacity"]
     mark = f"{tmp_path.name}-{os.getpid()}"
     env = {**os.environ, "CAPACITY_TEST": mark}
-    ran = subprocess.run(
-        [*words, "run", "--tiny", "--repeats", "1", "--out", str(out)],
-        cwd=ROOT, env=env, capture_output=True, text=True, timeout=LONGEST,
+    completed = subprocess.run(
+        [*program, "run", "--tiny", "--repeats", "1", "--out", str(out)],
+        cwd=ROOT, env=env, capture_output=True, text=True, timeout=TINY_RUN_TIMEOUT,
     )  # fmt: skip
-    assert ran.returncode == 0, ran.stdout + ran.stderr
+    assert completed.returncode == 0, completed.stdout + completed.stderr
     lines = results.read(out, tiny=True)
     assert catalogue()
     assert [(one.measurement, one.x) for one in lines] == [
         (one.name, x) for one in catalogue().values() for x in one.tiny
     ]
     assert not any(one.failed for one in lines)
-    assert not carrying(f"CAPACITY_TEST={mark}")
+    assert not marked_processes(f"CAPACITY_TEST={mark}")
     page_copy.write_text(PAGE.read_text("utf-8"))
-    told = ["--tiny", "--results", str(out), "--page", str(page_copy), "--plots", str(tmp_path / "plots")]
+    options = ["--tiny", "--results", str(out), "--page", str(page_copy), "--plots", str(tmp_path / "plots")]
     for command in ("render", "check"):
-        ran = subprocess.run([*words, command, *told], cwd=ROOT, capture_output=True, text=True, timeout=120)
-        assert ran.returncode == 0, ran.stdout + ran.stderr
+        completed = subprocess.run(
+            [*program, command, *options], cwd=ROOT, capture_output=True, text=True, timeout=120
+        )
+        assert completed.returncode == 0, completed.stdout + completed.stderr
 
 
-def test_a_run_that_is_told_to_end_ends_what_it_measures(tmp_path: Path) -> None:
+def test_a_terminated_run_ends_its_measurement(tmp_path: Path) -> None:
     mark = f"CAPACITY_TEST={tmp_path.name}-{os.getpid()}"
-    words = [
+    command = [
         sys.executable,
         "-m",
         "hallproxy.lab.capacity",
@@ -60,18 +62,18 @@
         "--out",
         str(tmp_path / "out"),
     ]
-    ran = subprocess.Popen(words, cwd=ROOT, env={**os.environ, "CAPACITY_TEST": mark.partition("=")[2]})
+    process = subprocess.Popen(command, cwd=ROOT, env={**os.environ, "CAPACITY_TEST": mark.partition("=")[2]})
     try:
-        until(lambda: len(carrying(mark)) == 2)  # it, and the size that is measured
-        ran.terminate()
-        assert ran.wait(20) == 128 + signal.SIGTERM
+        until(lambda: len(marked_processes(mark)) == 2)  # the run, and the size that it measures
+        process.terminate()
+        assert process.wait(20) == 128 + signal.SIGTERM
     finally:
-        ran.kill()
-        ran.wait()
-    assert carrying(mark) == []
+        process.kill()
+        process.wait()
+    assert marked_processes(mark) == []
 
 
-def test_a_name_that_there_is_not_and_tiny_lines_for_the_results_are_refused(tmp_path: Path) -> None:
+def test_an_unknown_name_and_a_tiny_run_into_the_results_are_rejected(tmp_path: Path) -> None:
     status, output, lines = run_tiny(tmp_path / "out.jsonl", "no.such")
     assert status == 2 and "no.such" in output and not lines
     before = RESULTS.read_bytes()
@@ -79,7 +81,7 @@
     assert status == 2 and RESULTS.read_bytes() == before
 
 
-def carrying(mark: str) -> list[int]:
+def marked_processes(mark: str) -> list[int]:
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
@@ -91,13 +93,13 @@
     return found
 
 
-def test_a_termination_amid_a_spawn_leaves_no_process(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a process that goes on measuring, as its run was told to end while it was spawned."""
+def test_a_termination_during_a_spawn_leaves_no_process(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a process that keeps measuring because its run received SIGTERM while spawning it."""
     spawned: list[subprocess.Popen[bytes]] = []
     popen = subprocess.Popen
 
-    def spawn(*args: Any, **more: Any) -> subprocess.Popen[bytes]:
-        spawned.append(popen(*args, **more))
+    def spawn(*args: Any, **kwargs: Any) -> subprocess.Popen[bytes]:
+        spawned.append(popen(*args, **kwargs))
         os.kill(os.getpid(), signal.SIGTERM)
         return spawned[0]
 
@@ -105,13 +107,13 @@
         raise SystemExit(128 + number)
 
     monkeypatch.setattr(subprocess, "Popen", spawn)
-    one = catalogue()["stores.cold"]
-    former = signal.signal(signal.SIGTERM, stop)
+    measurement = catalogue()["stores.cold"]
+    previous = signal.signal(signal.SIGTERM, stop)
     try:
         with pytest.raises(SystemExit):
-            runner.measure(one, one.sizes[0], 1, tiny=True)
+            runner.measure(measurement, measurement.sizes[0], 1, tiny=True)
         assert spawned[0].poll() == -signal.SIGKILL
     finally:
-        signal.signal(signal.SIGTERM, former)
+        signal.signal(signal.SIGTERM, previous)
         spawned[0].kill()
         spawned[0].wait()
