--- a/hallproxy/lab/capacity/control.py
+++ b/hallproxy/lab/capacity/control.py
@@ -1,6 +1,6 @@
-"""What control costs one gateway: a real process with a configuration, and a change log as it likes.
+"""Cost of control traffic at one gateway: a real process with a configuration that follows a stand-in log.
 
-Bytes are those that the log counted on the gateway's connections: requests and answers, heads included.
+Bytes are those that the log counted on the gateway's connections: requests and answers, headers included.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 from hallproxy.lab.capacity.hollow import FIRST
 from hallproxy.lab.capacity.registry import Measured, MeasurementError, Quantity, Run, measurement
 
-RATE = 180.0  # purges a second at the operators' size
+PURGES_PER_S = 180.0  # purges a second at the operators' size
 MEMBERS = 1_500  # stores there
 MEMBERS_TINY = 60
-EVENT_MOST = 400.0  # bytes of an event told alone, both ways: what the protocol's heads and JSON can come to
-CORE = 100.0  # %
-CROWD = 10  # hollow gateways in one process, told one by one
+MAX_EVENT_BYTES = 400.0  # of an event in a page of its own, both ways, with the protocol's headers and JSON
+CORE_PERCENT = 100.0  # of one core
+SHARED_PROCESS_GATEWAYS = 10  # hollow gateways in one process, one event a page
 
 
-def seconds(run: Run) -> float:
-    """How long purges come in one point."""
+def purging_s(run: Run) -> float:
+    """How long purges are published at one size."""
     return 0.3 if run.tiny else 8.0
 
 
-def members(run: Run) -> int:
+def list_size(run: Run) -> int:
     return MEMBERS_TINY if run.tiny else MEMBERS
 
 
-def require(held: bool, what: str) -> None:
-    if not held:
-        raise MeasurementError(what)
+def require(condition: bool, error: str) -> None:
+    if not condition:
+        raise MeasurementError(error)
 
 
 @contextmanager
-def gateway(run: Run, log: Child, members: int, *words: str) -> Iterator[Program]:
-    """A real gateway that follows the log from the list that its configuration knows."""
+def gateway(run: Run, log: Child, members: int, *options: str) -> Iterator[Program]:
+    """A real gateway that follows the log, starting from the list in its configuration."""
     known = {"seq": FIRST, "results": [{"seq": FIRST, "fleet": fleet.list_event(members)}]}
     config = {
         "name": "measured",
@@ -57,29 +57,29 @@
     }
     path = run.where / "gateway.json"
     path.write_text(json.dumps(config))
-    with Program(*words, EDGE_CONFIG=str(path), EDGE_NAME="measured") as program:
+    with Program(*options, EDGE_CONFIG=str(path), EDGE_NAME="measured") as program:
         program.listens()
         yield program
         require(not any("change log:" in x or "fault" in x for x in program.lines), "\n".join(program.lines))
 
 
 @dataclass
-class Told:
-    """What came of some purges that each follower of a log was told; figures are one follower's."""
+class PurgeFigures:
+    """Cost of some purges that each follower of a log received; bytes and answers are one follower's."""
 
     events: int
-    seconds: float
+    elapsed_s: float
     cpu_s: tuple[float, ...]  # of each process
-    bytes_both: float  # to the log and from it
+    bytes_both: float  # sent to the log and received from it
     answers: float  # with events
 
     @property
     def core_share(self) -> float:
-        return CORE * self.cpu_s[0] / self.seconds
+        return CORE_PERCENT * self.cpu_s[0] / self.elapsed_s
 
     @property
     def bytes_per_s(self) -> float:
-        return self.bytes_both / self.seconds
+        return self.bytes_both / self.elapsed_s
 
     @property
     def us_per_event(self) -> float:
@@ -90,37 +90,42 @@
         return self.bytes_both / self.events
 
 
-def purged(log: Child, rate: float, count: int, *pids: int, each: int = 1) -> Told:
-    """Have the log tell so many purges, until its followers, `each` in each process, have confirmed them.
+def measure_purges(log: Child, rate: float, count: int, *pids: int, per_process: int = 1) -> PurgeFigures:
+    """Publish purges and wait until all followers, `per_process` in each process, have confirmed them.
 
-    Raises MeasurementError if one is told twice or not at all.
+    Raises MeasurementError if a follower was sent one twice or not at all.
     """
-    followers = each * len(pids)
+    followers = per_process * len(pids)
     before, cpu, began = log.ask("report"), [cpu_s(pid) for pid in pids], time.monotonic()
-    require(before["followers"] == followers, f"{before['followers']} followers, {followers} wanted")
+    require(
+        before["followers"] == followers, f"{before['followers']} followers of the log, {followers} expected"
+    )
     log.command("purge", rate=rate, count=count)
     time.sleep(count / rate)
-    until(lambda: log.ask("report")["confirmed"] == before["seq"] + count, f"{count} purges at the gateway")
-    took, spent = time.monotonic() - began, [cpu_s(pid) - was for pid, was in zip(pids, cpu, strict=True)]
+    until(
+        lambda: log.ask("report")["confirmed"] == before["seq"] + count,
+        f"{count} purges confirmed by all followers",
+    )
+    took, spent = time.monotonic() - began, [cpu_s(pid) - start for pid, start in zip(pids, cpu, strict=True)]
     after = log.ask("report")
-    told = after["told"] - before["told"]
-    require(told == count * followers, f"{count} purges, but {told} were told to {followers}")
-    require(after["connects"] == before["connects"], "a gateway connected anew")
+    sent = after["told"] - before["told"]
+    require(sent == count * followers, f"{count} purges, but {sent} events sent; followers: {followers}")
+    require(after["connects"] == before["connects"], "a gateway opened another connection to the log")
     answers = after["polls"] - before["polls"] - (after["empty"] - before["empty"])
     bytes_both = sum(after[name] - before[name] for name in ("bytes_in", "bytes_out"))
-    return Told(count, took, tuple(spent), bytes_both / followers, answers / followers)
+    return PurgeFigures(count, took, tuple(spent), bytes_both / followers, answers / followers)
 
 
-def quiet(log: Child, pid: int, during: float) -> Measured:
-    """One follower's figures where nothing is told for so many s: its polls are held to their ends."""
+def measure_idle(log: Child, pid: int, idle_s: float) -> Measured:
+    """One follower's figures while nothing is published: its polls time out without events."""
     before, cpu, began = log.ask("report"), cpu_s(pid), time.monotonic()
-    time.sleep(during)
-    until(lambda: log.ask("report")["empty"] > before["empty"], "a poll that is held to its end")
+    time.sleep(idle_s)
+    until(lambda: log.ask("report")["empty"] > before["empty"], "a poll that timed out")
     took, spent, after = time.monotonic() - began, cpu_s(pid) - cpu, log.ask("report")
-    require(after["told"] == before["told"], "something was told though nothing was to tell")
+    require(after["told"] == before["told"], "the log sent events though none were published")
     bytes_both = sum(after[name] - before[name] for name in ("bytes_in", "bytes_out"))
     return {
-        "core_share": CORE * spent / took,
+        "core_share": CORE_PERCENT * spent / took,
         "bytes_per_s": bytes_both / took,
         "us_per_event": None,
         "bytes_per_event": None,
@@ -146,29 +151,35 @@
     ),
 )
 def purge_rate(size: float, run: Run) -> Measured:
-    listed = members(run)
-    with Child("changelog", "--members", listed, "--seed", run.seed).ready() as log:
-        with gateway(run, log, listed) as program:
+    members = list_size(run)
+    with Child("changelog", "--members", members, "--seed", run.seed).ready() as log:
+        with gateway(run, log, members) as program:
             if not size:
-                return {**quiet(log, program.pid, seconds(run)), "memory_mb": memory_mb(program.pid)}
-            told = purged(log, size, max(2, round(size * seconds(run))), program.pid)
-            require(told.bytes_per_event < EVENT_MOST + 400 / size, f"{told.bytes_per_event:.0f} B an event")
+                return {**measure_idle(log, program.pid, purging_s(run)), "memory_mb": memory_mb(program.pid)}
+            figures = measure_purges(log, size, max(2, round(size * purging_s(run))), program.pid)
+            require(
+                figures.bytes_per_event < MAX_EVENT_BYTES + 400 / size,
+                f"{figures.bytes_per_event:.0f} bytes per event exceed the bound",
+            )
             return {
-                "core_share": told.core_share,
-                "bytes_per_s": told.bytes_per_s,
-                "us_per_event": told.us_per_event,
-                "bytes_per_event": told.bytes_per_event,
-                "events_per_page": told.events / told.answers,
+                "core_share": figures.core_share,
+                "bytes_per_s": figures.bytes_per_s,
+                "us_per_event": figures.us_per_event,
+                "bytes_per_event": figures.bytes_per_event,
+                "events_per_page": figures.events / figures.answers,
                 "memory_mb": memory_mb(program.pid),
             }
 
 
-def page(seed: int, first: int, events: int) -> bytes:
-    """A page of purges as the log words it, made without one: a purge each 1/180 s."""
-    told = fleet.Purged(seed)
+def purge_page(seed: int, first: int, events: int) -> bytes:
+    """A page of purges in the log's format, built without a log: one purge every 1/180 s."""
+    purged = fleet.Purged(seed)
     at = time.time_ns() // 1_000_000
     results = [
-        {"seq": first + n, "invalidate": {"object": f"{told[n]:016x}", "time": at + int(n / RATE * 1000)}}
+        {
+            "seq": first + n,
+            "invalidate": {"object": f"{purged[n]:016x}", "time": at + int(n / PURGES_PER_S * 1000)},
+        }
         for n in range(events)
     ]
     return json.dumps({"seq": first + events - 1, "results": results}, separators=(",", ":")).encode()
@@ -192,38 +203,44 @@
     ),
 )
 def page_events(size: float, run: Run) -> Measured:
-    """Core and bytes are the real process's, on plain pages; the bytes of pages are their bodies'."""
-    listed, events = members(run), int(size)
-    count = max(1, round(RATE * seconds(run) / events)) * events
-    plain = page(run.seed, 100_000, events)
+    """Processor time and bytes are the real process's, with plain pages; page bytes count bodies alone."""
+    members, events = list_size(run), int(size)
+    count = max(1, round(PURGES_PER_S * purging_s(run) / events)) * events
+    plain = purge_page(run.seed, 100_000, events)
     zipped = gzip.compress(plain, 6, mtime=0)
-    require(gzip.decompress(zipped) == plain, "a page is not what was zipped")
-    words = ("--gather-events", events, "--page-events", events)
-    with Child("changelog", "--members", listed, "--seed", run.seed, *words).ready() as log:
-        with gateway(run, log, listed) as program:
-            told = purged(log, RATE, count, program.pid)
-            require(told.answers == count / events, f"{told.answers} pages of {events} for {count} purges")
+    require(gzip.decompress(zipped) == plain, "the decompressed page differs from the plain one")
+    options = ("--gather-events", events, "--page-events", events)
+    with Child("changelog", "--members", members, "--seed", run.seed, *options).ready() as log:
+        with gateway(run, log, members) as program:
+            figures = measure_purges(log, PURGES_PER_S, count, program.pid)
+            require(
+                figures.answers == count / events,
+                f"{figures.answers} pages of {events} events for {count} purges",
+            )
             return {
-                "core_share": told.core_share,
-                "us_per_event": told.us_per_event,
-                "bytes_per_s": told.bytes_per_s,
-                "bytes_per_event": told.bytes_per_event,
+                "core_share": figures.core_share,
+                "us_per_event": figures.us_per_event,
+                "bytes_per_s": figures.bytes_per_s,
+                "bytes_per_event": figures.bytes_per_event,
                 "page_bytes": float(len(plain)),
                 "page_bytes_gzip": float(len(zipped)),
             }
 
 
-def hollow(at: str, run: Run, count: int, listed: int, *words: object) -> Child:
+def hollow(address: str, run: Run, count: int, members: int, *options: object) -> Child:
     """A process of hollow gateways that follow the log, or relay, at this address."""
-    asked: list[object] = ["--at", at, "--gateways", count, "--members", listed]
-    return Child("hollow", *asked, "--seed", run.seed, *words)
-
-
-def all_held(report: dict[str, Any], followers: int, count: int) -> None:
-    """Every purge at every follower, none twice, and nothing that was never made."""
-    wrong = {name: report[name] for name in ("lost", "twice", "foreign", "groups") if report[name]}
-    require(not wrong, f"purges went wrong: {wrong}")
-    require(report["least"] == report["most"] == count, f"{report['least']} to {report['most']} of {count}")
+    args: list[object] = ["--at", address, "--gateways", count, "--members", members]
+    return Child("hollow", *args, "--seed", run.seed, *options)
+
+
+def require_all_held(report: dict[str, Any], followers: int, count: int) -> None:
+    """Require that every follower holds every purge, none twice, and none that was never published."""
+    errors = {name: report[name] for name in ("lost", "twice", "foreign", "groups") if report[name]}
+    require(not errors, f"purges were not delivered exactly once: {errors}")
+    require(
+        report["least"] == report["most"] == count,
+        f"{report['least']} to {report['most']} purges per follower, expected {count}",
+    )
     require(report["held"] == [followers] * count, "a purge is not held by every follower")
 
 
@@ -245,40 +262,43 @@
     ),
 )
 def hollow_against_real(size: float, run: Run) -> Measured:
-    """Both are told at once, each in a process of its own, so what else the machine does costs both alike.
+    """Both run at once, each in a process of its own, so that other load on the machine affects both alike.
 
-    Many in one process share its waking up: what they cost is less than what as many gateways would.
+    Hollow gateways in one process share its wakeups: they cost less than as many real gateways would.
     """
-    listed, count = members(run), max(2, round(size * seconds(run) / 2))
-    crowd = 4 if run.tiny else CROWD
-    with Child("changelog", "--members", listed, "--seed", run.seed).ready() as log:
-        with gateway(run, log, listed) as program, hollow(log.told["address"], run, 1, listed).ready() as one:
-            before = one.ask("report")
-            both = purged(log, size, count, program.pid, one.pid)
-            after = one.ask("report")
-            all_held(after, 1, count)
+    members, count = list_size(run), max(2, round(size * purging_s(run) / 2))
+    shared = 4 if run.tiny else SHARED_PROCESS_GATEWAYS
+    with Child("changelog", "--members", members, "--seed", run.seed).ready() as log:
+        with (
+            gateway(run, log, members) as program,
+            hollow(log.told["address"], run, 1, members).ready() as hollow_one,
+        ):
+            before = hollow_one.ask("report")
+            both = measure_purges(log, size, count, program.pid, hollow_one.pid)
+            after = hollow_one.ask("report")
+            require_all_held(after, 1, count)
             bytes_hollow = sum(after[name] - before[name] for name in ("bytes_in", "bytes_out"))
             bytes_real = 2 * both.bytes_both - bytes_hollow
             require(
-                abs(bytes_real - bytes_hollow) < 4 * EVENT_MOST,
-                f"the hollow gateway counts {bytes_hollow} bytes, the log {bytes_real} for the real one",
+                abs(bytes_real - bytes_hollow) < 4 * MAX_EVENT_BYTES,
+                f"the hollow gateway counted {bytes_hollow} bytes, the log {bytes_real} for the real one",
             )
-    with Child("changelog", "--members", listed, "--seed", run.seed).ready() as log:
-        with hollow(log.told["address"], run, crowd, listed).ready() as many:
-            told = purged(log, size, count, many.pid, each=crowd)
-            all_held(many.ask("report"), crowd, count)
-    real, like = both.cpu_s
+    with Child("changelog", "--members", members, "--seed", run.seed).ready() as log:
+        with hollow(log.told["address"], run, shared, members).ready() as shared_process:
+            figures = measure_purges(log, size, count, shared_process.pid, per_process=shared)
+            require_all_held(shared_process.ask("report"), shared, count)
+    real_cpu_s, hollow_cpu_s = both.cpu_s
     return {
-        "core_us_real": real / count * 1e6,
-        "core_us_hollow": like / count * 1e6,
-        "difference_percent": 100 * (like / real - 1),
-        "core_us_crowded": told.us_per_event / crowd,
+        "core_us_real": real_cpu_s / count * 1e6,
+        "core_us_hollow": hollow_cpu_s / count * 1e6,
+        "difference_percent": 100 * (hollow_cpu_s / real_cpu_s - 1),
+        "core_us_crowded": figures.us_per_event / shared,
         "bytes_real": bytes_real / count,
         "bytes_hollow": bytes_hollow / count,
     }
 
 
-CHANGES = 12  # of the list, in a point
+CHANGES = 12  # list changes at one size
 
 
 @measurement(
@@ -296,20 +316,25 @@
     ),
 )
 def members_listed(size: float, run: Run) -> Measured:
-    """A change tells of one store that has started anew; a whole list tells all of them again."""
-    listed, changes = int(size), 3 if run.tiny else CHANGES
+    """A change restarts one store; a whole list contains all of them again."""
+    members, changes = int(size), 3 if run.tiny else CHANGES
     figures: dict[str, float] = {}
-    with Child("changelog", "--members", listed, "--seed", run.seed).ready() as log:
-        with gateway(run, log, listed) as program:
+    with Child("changelog", "--members", members, "--seed", run.seed).ready() as log:
+        with gateway(run, log, members) as program:
             for whole in (False, True):
                 before, cpu = log.ask("report"), cpu_s(program.pid)
                 for number in range(changes):
                     log.command("change", members=1, whole=whole)
                     wanted = before["seq"] + number + 1
-                    until(lambda wanted=wanted: log.ask("report")["confirmed"] == wanted, "a change")  # type: ignore[misc]
+                    until(lambda wanted=wanted: log.ask("report")["confirmed"] == wanted, "a list change")  # type: ignore[misc]
                 spent, after = cpu_s(program.pid) - cpu, log.ask("report")
-                require(after["told"] - before["told"] == changes, "a change was told twice, or not at all")
+                require(
+                    after["told"] - before["told"] == changes,
+                    "the gateway was sent a list change twice or not at all",
+                )
                 figures["core_ms_whole" if whole else "core_ms"] = spent / changes * 1000
                 figures["bytes_whole"] = (after["bytes_out"] - before["bytes_out"]) / changes
-            require(figures["bytes_whole"] > 100 * listed, "a whole list that does not tell all stores")
+            require(
+                figures["bytes_whole"] > 100 * members, "a whole list is smaller than 100 bytes per store"
+            )
             return {**figures, "memory_mb": memory_mb(program.pid)}
--- a/hallproxy/lab/capacity/logs.py
+++ b/hallproxy/lab/capacity/logs.py
@@ -1,8 +1,8 @@
-"""What a change log carries when all gateways ask it themselves, without a tier between.
+"""Capacity of a change log that all gateways poll directly, without a relay tier.
 
-So many followers as four processes carry well are hollow gateways; the rest of them poll and count alone, as
-their own work would fill the machine that is to show the log's. A log that is full shows as delay. So does a
-process of followers that is: `fullest_process` tells whether the delay may be its own.
+As many followers as four processes can run without overload are hollow gateways; the others only poll and
+count, since their own work would load the machine that measures the log. A saturated log shows as delay, and
+so does a saturated process of followers: `fullest_process` shows whether the delay may come from that.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 from hdrh.histogram import HdrHistogram
 
 from hallproxy.lab.capacity.children import Child, until
-from hallproxy.lab.capacity.control import CORE, RATE, all_held, require
+from hallproxy.lab.capacity.control import CORE_PERCENT, PURGES_PER_S, require, require_all_held
 from hallproxy.lab.capacity.registry import Measured, Quantity, Run, measurement
 
-MEMBERS = 150  # stores on the list: what purges cost does not depend on it
+MEMBERS = 150  # stores on the list; the cost of purges does not depend on their number
 MEMBERS_TINY = 20
-HOLLOW_MOST = 60  # hollow gateways that four processes carry when told one by one
-HOLLOW_MOST_PAGES = 400  # ...and when told in pages: 200 in one have filled it, and held purges for seconds
-PROCESSES = 4  # of hollow gateways
-LIGHT_EACH = 800  # light followers in a process
-DRAIN = 15.0  # s in which all that was told must be held
+MAX_HOLLOW_SINGLE = 60  # hollow gateways that four processes can run with one event a page
+MAX_HOLLOW_PAGED = 400  # the same with gathered pages: 200 in one saturate it, which delays purges by seconds
+HOLLOW_PROCESSES = 4
+LIGHT_PER_PROCESS = 800  # light followers
+DRAIN_TIMEOUT = 15.0  # s until all followers must hold all published purges
 HOUR_US = 3_600 * 1_000_000
 
 
-def seconds(run: Run) -> float:
+def purging_s(run: Run) -> float:
     return 0.25 if run.tiny else 5.0
 
 
 class Followers:
-    """Processes of followers at some addresses, hollow ones first, and what all of them hold together."""
+    """Processes of followers of some addresses, hollow ones first, and their combined figures."""
 
     def __init__(
         self,
@@ -40,82 +40,84 @@
         stack: ExitStack,
         addresses: list[str],
         count: int,
-        hollow: int,
-        *words: object,
-        parts: int = 0,
+        max_hollow: int,
+        *options: object,
+        processes: int = 0,
     ) -> None:
-        """`count` of them in all, up to `hollow` of them gateways, in `parts` processes of each kind.
+        """Start `count` followers, `max_hollow` of them hollow at most, in `processes` processes per kind.
 
-        Each process follows one of the addresses, which take turns.
+        The processes are assigned to the addresses round robin.
         """
         listed = MEMBERS_TINY if run.tiny else MEMBERS
         self.count = count
-        self.children: list[tuple[Child, int, bool]] = []  # process, followers in it, whether they are hollow
-        self.before: list[dict[str, Any]] = []
-        kinds = [(min(count, hollow), False), (max(0, count - hollow), True)]
+        self.children: list[tuple[Child, int, bool]] = []  # process, its followers, whether hollow
+        self.baseline: list[dict[str, Any]] = []
+        kinds = [(min(count, max_hollow), False), (max(0, count - max_hollow), True)]
         for followers, light in kinds:
-            fitting = 1 + followers // LIGHT_EACH if light else 1 if run.tiny else PROCESSES
-            processes = parts or fitting
-            for part in range(processes):
-                size = followers // processes + (part < followers % processes)
+            default_processes = (
+                1 + followers // LIGHT_PER_PROCESS if light else 1 if run.tiny else HOLLOW_PROCESSES
+            )
+            process_count = processes or default_processes
+            for part in range(process_count):
+                size = followers // process_count + (part < followers % process_count)
                 if size:
                     args: list[object] = ["--at", addresses[part % len(addresses)], "--gateways", size]
-                    args += ["--members", listed, "--seed", run.seed, "--first", 10_000 * part, *words]
+                    args += ["--members", listed, "--seed", run.seed, "--first", 10_000 * part, *options]
                     child = Child("hollow", *args, *(["--light"] if light else []))
                     self.children.append((stack.enter_context(child), size, not light))
         for child, _, _ in self.children:
             child.ready()
 
-    def begin(self) -> None:
-        self.before = [child.ask("report") for child, _, _ in self.children]
+    def take_baseline(self) -> None:
+        self.baseline = [child.ask("report") for child, _, _ in self.children]
 
-    def least(self) -> int:
-        """How many purges every one of them holds."""
+    def min_held(self) -> int:
+        """How many purges every follower holds at least."""
         return min(int(child.ask("least")["least"]) for child, _, _ in self.children)
 
-    def hold(self, count: int) -> list[dict[str, Any]]:
-        """Wait until each holds so many purges; what each process then tells."""
+    def wait_held(self, count: int) -> list[dict[str, Any]]:
+        """Wait until each follower holds `count` purges; returns each process's report."""
 
-        until(lambda: self.least() >= count, f"{count} purges at {self.count} followers", DRAIN)
+        until(lambda: self.min_held() >= count, f"{count} purges at {self.count} followers", DRAIN_TIMEOUT)
         reports = [child.ask("report") for child, _, _ in self.children]
         for report, (child, size, _) in zip(reports, self.children, strict=True):
-            all_held(report, size, count)
-            require(not child.faults, f"a follower had a fault: {list(child.lines)[-3:]}")
+            require_all_held(report, size, count)
+            require(not child.faults, f"a process of followers logged a fault: {list(child.lines)[-3:]}")
         return reports
 
     def connects(self) -> list[tuple[int, int]]:
-        """Unix ms and port of each connect that a follower has made, in the order of time."""
-        told = [child.ask("connects")["connects"] for child, _, _ in self.children]
-        return sorted((at, port) for one in told for at, port in one)
+        """Unix ms and port of each connect of a follower, in order of time."""
+        by_process = [child.ask("connects")["connects"] for child, _, _ in self.children]
+        return sorted((at, port) for connects in by_process for at, port in connects)
 
     def figures(self, reports: list[dict[str, Any]], took: float) -> Measured:
-        """Delays are each purge's, from its own time until the last of all followers held it."""
+        """The delay of a purge is from its timestamp until the last follower holds it."""
         delays = HdrHistogram(1, HOUR_US, 3)
-        for last in zip(*(report["delay_us"] for report in reports), strict=True):
-            delays.record_value(max(1, *last))
-        cpu = size = memory = share = bytes_both = 0.0
+        for of_purge in zip(*(report["delay_us"] for report in reports), strict=True):
+            delays.record_value(max(1, *of_purge))
+        cpu = size = memory = max_share = bytes_both = 0.0
         for report, before, (child, followers, hollow) in zip(
-            reports, self.before, self.children, strict=True
+            reports, self.baseline, self.children, strict=True
         ):
             if hollow:
                 cpu += report["cpu_s"] - before["cpu_s"]
                 memory += report["peak_mb"] - child.told["empty_mb"]
-                bytes_both += sum(report[x] - before[x] for x in ("bytes_in", "bytes_out"))
+                bytes_both += sum(report[name] - before[name] for name in ("bytes_in", "bytes_out"))
                 size += followers
-            share = max(share, CORE * (report["cpu_s"] - before["cpu_s"]) / took)
+            max_share = max(max_share, CORE_PERCENT * (report["cpu_s"] - before["cpu_s"]) / took)
         return {
             "delay_p50_ms": delays.get_value_at_percentile(50) / 1000,
             "delay_p99_ms": delays.get_value_at_percentile(99) / 1000,
             "delay_p100_ms": delays.get_max_value() / 1000,
-            "follower_core_share": CORE * cpu / took / size,
+            "follower_core_share": CORE_PERCENT * cpu / took / size,
             "follower_bytes_per_s": bytes_both / took / size,
             "follower_memory_mb": memory / size,
-            "fullest_process": share,
+            "fullest_process": max_share,
         }
 
 
-LATE = Quantity("late_ms", "ms that a purge came into being late", fitted=False)
-FULLEST = Quantity("fullest_process", "% of a core, of the followers' processes", fitted=False)
+LATENESS = Quantity("late_ms", "ms that a purge came into being late", fitted=False)
+BUSIEST_PROCESS = Quantity("fullest_process", "% of a core, of the followers' processes", fitted=False)
 FOLLOWER_QUANTITIES = (
     Quantity("delay_p50_ms", "ms", fitted=False),
     Quantity("delay_p99_ms", "ms", fitted=False),
@@ -123,7 +125,7 @@
     Quantity("follower_core_share", "%", fitted=False),
     Quantity("follower_bytes_per_s", "B/s", fitted=False),
     Quantity("follower_memory_mb", "MB", fitted=False),
-    FULLEST,
+    BUSIEST_PROCESS,
 )
 LOG_QUANTITIES = (
     Quantity("core_share", "%"),
@@ -131,38 +133,43 @@
     Quantity("polls_per_s", "/s"),
     Quantity("bytes_per_s", "B/s"),
     Quantity("events_per_page", "", fitted=False),
-    LATE,
+    LATENESS,
     Quantity("reconnects", "of followers that had no answer in time", fitted=False),
 )
 
 
-def told(run: Run, followers: int, hollow: int, *words: object) -> Measured:
-    """A log with so many followers, and purges at the operators' rate."""
-    listed, count = MEMBERS_TINY if run.tiny else MEMBERS, round(RATE * seconds(run))
+def measure_log(run: Run, followers: int, max_hollow: int, *options: object) -> Measured:
+    """Figures of a log with `followers` followers and purges at the operators' rate."""
+    listed, count = MEMBERS_TINY if run.tiny else MEMBERS, round(PURGES_PER_S * purging_s(run))
     with ExitStack() as stack:
-        log = stack.enter_context(Child("changelog", "--members", listed, "--seed", run.seed, *words)).ready()
-        asking = Followers(run, stack, [log.told["address"]], followers, hollow)
-        asking.begin()
+        log = stack.enter_context(
+            Child("changelog", "--members", listed, "--seed", run.seed, *options)
+        ).ready()
+        follower_group = Followers(run, stack, [log.told["address"]], followers, max_hollow)
+        follower_group.take_baseline()
         before, began = log.ask("report"), time.monotonic()
-        log.command("purge", rate=RATE, count=count)
-        time.sleep(seconds(run))
-        reports = asking.hold(count)
+        log.command("purge", rate=PURGES_PER_S, count=count)
+        time.sleep(purging_s(run))
+        reports = follower_group.wait_held(count)
         after, took = log.ask("report"), time.monotonic() - began
         events = after["told"] - before["told"]
-        again = after["connects"] - followers
-        wanted = count * followers  # an answer that came too late for its follower is told once more
-        require(events == wanted or (again and events > wanted), f"{events} events told, {wanted} wanted")
+        reconnects = after["connects"] - followers
+        expected = count * followers  # an answer that a follower no longer waits for is sent once more
+        require(
+            events == expected or (reconnects and events > expected),
+            f"{events} events sent, {expected} expected",
+        )
         answers = after["polls"] - before["polls"] - (after["empty"] - before["empty"])
         bytes_both = sum(after[name] - before[name] for name in ("bytes_in", "bytes_out"))
         return {
-            "core_share": CORE * (after["cpu_s"] - before["cpu_s"]) / took,
+            "core_share": CORE_PERCENT * (after["cpu_s"] - before["cpu_s"]) / took,
             "memory_mb": after["peak_mb"],
             "polls_per_s": (after["polls"] - before["polls"]) / took,
             "bytes_per_s": bytes_both / took,
             "events_per_page": events / answers,
             "late_ms": after["late_ms"],
-            "reconnects": float(again),
-            **asking.figures(reports, took),
+            "reconnects": float(reconnects),
+            **follower_group.figures(reports, took),
         }
 
 
@@ -176,8 +183,8 @@
     quantities=LOG_QUANTITIES + FOLLOWER_QUANTITIES,
 )
 def followers(size: float, run: Run) -> Measured:
-    """Pages grow where the log or a follower is late: the page then holds all that has come meanwhile."""
-    return told(run, int(size), 4 if run.tiny else HOLLOW_MOST)
+    """Pages grow when the log or a follower is late: the next page has all events since the last one."""
+    return measure_log(run, int(size), 4 if run.tiny else MAX_HOLLOW_SINGLE)
 
 
 @measurement(
@@ -190,4 +197,4 @@
     quantities=LOG_QUANTITIES + FOLLOWER_QUANTITIES,
 )
 def pages(size: float, run: Run) -> Measured:
-    return told(run, int(size), 4 if run.tiny else HOLLOW_MOST_PAGES, "--gather-ms", 250)
+    return measure_log(run, int(size), 4 if run.tiny else MAX_HOLLOW_PAGED, "--gather-ms", 250)
--- a/hallproxy/lab/capacity/relay.py
+++ b/hallproxy/lab/capacity/relay.py
@@ -1,7 +1,7 @@
-"""What relays carry, and what following them costs: real relays between the stand-in log and hollow gateways.
+"""Capacity of relays and the cost of following one: real relays between the stand-in log and hollow gateways.
 
-All follow with gzip, as `--change-logs` makes a gateway do. Up to `RELAY_HOLLOW` followers are hollow
-gateways in all, any more poll and count alone.
+All followers accept gzip, as a gateway with `--change-logs` does. At most `MAX_HOLLOW_FOLLOWERS` of them are
+hollow gateways; the others only poll and count.
 """
 
 from __future__ import annotations
@@ -13,101 +13,109 @@
 from typing import Any, Self
 
 from hallproxy.lab.capacity.children import Child, Program, cpu_s, memory_mb, until
-from hallproxy.lab.capacity.control import CORE, RATE, all_held, gateway, hollow, require
+from hallproxy.lab.capacity.control import (
+    CORE_PERCENT,
+    PURGES_PER_S,
+    gateway,
+    hollow,
+    require,
+    require_all_held,
+)
 from hallproxy.lab.capacity.logs import (
+    BUSIEST_PROCESS,
     FOLLOWER_QUANTITIES,
-    FULLEST,
-    LATE,
+    LATENESS,
     MEMBERS,
     MEMBERS_TINY,
     Followers,
-    seconds,
+    purging_s,
 )
 from hallproxy.lab.capacity.registry import Measured, Quantity, Run, measurement
 from hallproxy.relay.status import fetch
 
-GATHER = 250  # ms, where a measurement does not vary it
-GATHER_TINY = 50
-OTHERWISE = "whole", "behind", "bad", "turned_away"  # answers that nobody is to get
-BURST = 100  # ms in which connects are counted together
-TIER_FOLLOWERS = 200  # of each relay below the top, ...
-RELAY_HOLLOW = 800  # hollow gateways, at most, in all processes of a measurement
-RELAY_PROCESSES = 6  # of them: the log and the relay have the other two cores of the machine measured on
-CHANGEOVER_FOLLOWERS = 400  # of all relays
+GATHER_MS = 250  # where a measurement does not vary it
+GATHER_MS_TINY = 50
+UNWANTED_ANSWERS = "whole", "behind", "bad", "turned_away"  # kinds that no follower may receive
+BURST_MS = 100  # window in which connects count as one burst
+TIER_FOLLOWERS = 200  # per relay below the top one
+MAX_HOLLOW_FOLLOWERS = 800  # hollow gateways in all processes of a measurement
+FOLLOWER_PROCESSES = 6  # leaves two cores of the machine measured on to the log and the relay
+CHANGEOVER_FOLLOWERS = 400  # of all relays together
 
 
 class Relay:
-    """One relay's process, and what it says of itself."""
+    """A relay process and the status that it reports."""
 
     def __init__(self, run: Run, stack: ExitStack, name: str, upstream: Iterable[str], gather: int) -> None:
-        named = ", ".join(f'"{at}"' for at in upstream)
+        quoted = ", ".join(f'"{address}"' for address in upstream)
         path = run.where / f"{name}.toml"
         path.write_text(
-            f'name = "{name}"\nlisten = "127.0.0.1:0"\nupstream = [{named}]\ngather_ms = {gather}\n', "utf-8"
+            f'name = "{name}"\nlisten = "127.0.0.1:0"\nupstream = [{quoted}]\ngather_ms = {gather}\n', "utf-8"
         )
         self.program = stack.enter_context(Program("relay", str(path)))
         self.name, self.address = name, ""
-        self._before: dict[str, Any] = {}
-        self._cpu = 0.0
+        self._baseline: dict[str, Any] = {}
+        self._baseline_cpu_s = 0.0
 
     def ready(self) -> Self:
-        """It listens and has heard the log."""
+        """Wait until it listens and is current with its upstream; take the first baseline."""
         self.address = self.program.listens()
-        until(lambda: bool(self.status().get("current")), f"{self.name}: current")
-        self._before = self.status()
+        until(lambda: bool(self.status().get("current")), f"{self.name}: status current")
+        self._baseline = self.status()
         return self
 
     def status(self) -> dict[str, Any]:
         return fetch(self.address)
 
-    def begin(self) -> None:
-        self._before, self._cpu = self.status(), cpu_s(self.program.pid)
+    def take_baseline(self) -> None:
+        """Start the period that `cpu_seconds` and `answers` count."""
+        self._baseline, self._baseline_cpu_s = self.status(), cpu_s(self.program.pid)
 
     @property
-    def cpu(self) -> float:
-        """Processor time (s) since the beginning."""
-        return cpu_s(self.program.pid) - self._cpu
+    def cpu_seconds(self) -> float:
+        """Processor time since the baseline."""
+        return cpu_s(self.program.pid) - self._baseline_cpu_s
 
     @property
-    def memory(self) -> float:
+    def peak_memory_mb(self) -> float:
         return memory_mb(self.program.pid)
 
     def answers(self) -> Counter[str]:
-        """Its counts of polls and answers since the beginning."""
-        now = Counter(self.status()["answers"])
-        now.subtract(self._before["answers"])
-        return now
+        """Its counts of polls and answers since the baseline."""
+        counts = Counter(self.status()["answers"])
+        counts.subtract(self._baseline["answers"])
+        return counts
 
 
-def ready(relays: list[Relay]) -> list[Relay]:
+def wait_all_ready(relays: list[Relay]) -> list[Relay]:
     return [relay.ready() for relay in relays]
 
 
-def log_of(run: Run, stack: ExitStack) -> Child:
+def start_log(run: Run, stack: ExitStack) -> Child:
     listed = MEMBERS_TINY if run.tiny else MEMBERS
     return stack.enter_context(Child("changelog", "--members", listed, "--seed", run.seed)).ready()
 
 
-def gather_of(run: Run) -> int:
-    return GATHER_TINY if run.tiny else GATHER
+def gather_ms(run: Run) -> int:
+    return GATHER_MS_TINY if run.tiny else GATHER_MS
 
 
-def told(log: Child, asking: Followers, run: Run) -> tuple[list[dict[str, Any]], float]:
-    """Have the log tell purges until all followers hold them; their reports, and how long it took (s)."""
-    count = round(RATE * seconds(run))
-    asking.begin()
+def run_purges(log: Child, followers: Followers, run: Run) -> tuple[list[dict[str, Any]], float]:
+    """Publish purges and wait until all followers hold them; returns their reports and the seconds taken."""
+    count = round(PURGES_PER_S * purging_s(run))
+    followers.take_baseline()
     began = time.monotonic()
-    log.command("purge", rate=RATE, count=count)
-    time.sleep(seconds(run))
-    reports = asking.hold(count)
+    log.command("purge", rate=PURGES_PER_S, count=count)
+    time.sleep(purging_s(run))
+    reports = followers.wait_held(count)
     return reports, time.monotonic() - began
 
 
-def plain_only(relays: Iterable[Relay]) -> None:
-    """Nobody was told a whole page, turned away, or that the relay is behind."""
+def require_normal_answers(relays: Iterable[Relay]) -> None:
+    """Raise MeasurementError if a relay sent a follower any of `UNWANTED_ANSWERS`."""
     for relay in relays:
-        wrong = {kind: n for kind, n in relay.answers().items() if n and kind in OTHERWISE}
-        require(not wrong, f"{relay.name} answered otherwise: {wrong}")
+        unwanted = {kind: n for kind, n in relay.answers().items() if n and kind in UNWANTED_ANSWERS}
+        require(not unwanted, f"{relay.name} sent unwanted answers: {unwanted}")
 
 
 @measurement(
@@ -123,34 +131,39 @@
         Quantity("polls_per_s", "/s"),
         Quantity("bytes_per_s", "B/s"),
         Quantity("confirmed_p99_ms", "ms", fitted=False),
-        LATE,
+        LATENESS,
         *FOLLOWER_QUANTITIES,
     ),
 )
 def followers(size: float, run: Run) -> Measured:
     count = int(size)
     with ExitStack() as stack:
-        log = log_of(run, stack)
-        relay = Relay(run, stack, "top", [log.told["address"]], gather_of(run)).ready()
-        most = 4 if run.tiny else RELAY_HOLLOW
-        parts = 1 if run.tiny else RELAY_PROCESSES
-        asking = Followers(run, stack, [relay.address], count, most, "--gzip", parts=parts)
-        relay.begin()
-        reports, took = told(log, asking, run)
-        cpu, answers = relay.cpu, relay.answers()
-        plain_only([relay])
+        log = start_log(run, stack)
+        relay = Relay(run, stack, "top", [log.told["address"]], gather_ms(run)).ready()
+        max_hollow = 4 if run.tiny else MAX_HOLLOW_FOLLOWERS
+        processes = 1 if run.tiny else FOLLOWER_PROCESSES
+        followers = Followers(run, stack, [relay.address], count, max_hollow, "--gzip", processes=processes)
+        relay.take_baseline()
+        reports, took = run_purges(log, followers, run)
+        cpu, answers = relay.cpu_seconds, relay.answers()
+        require_normal_answers([relay])
         status = relay.status()
-        require(status["followers"] == count, f"{status['followers']} followers, {count} wanted")
-        heard = sum(r["bytes_in"] for r in reports) - sum(r["bytes_in"] for r in asking.before)
-        require(heard <= answers["bytes"], f"followers count {heard} bytes, the relay {answers['bytes']}")
+        require(
+            status["followers"] == count, f"{status['followers']} followers of the relay, {count} expected"
+        )
+        received = sum(r["bytes_in"] for r in reports) - sum(r["bytes_in"] for r in followers.baseline)
+        require(
+            received <= answers["bytes"],
+            f"followers received {received} bytes, the relay sent {answers['bytes']}",
+        )
         return {
-            "core_share": CORE * cpu / took,
-            "memory_mb": relay.memory,
+            "core_share": CORE_PERCENT * cpu / took,
+            "memory_mb": relay.peak_memory_mb,
             "polls_per_s": answers["polls"] / took,
             "bytes_per_s": answers["bytes"] / took,
             "confirmed_p99_ms": float(status["confirmed_ms"]["p99"]),
             "late_ms": log.ask("report")["late_ms"],
-            **asking.figures(reports, took),
+            **followers.figures(reports, took),
         }
 
 
@@ -165,48 +178,56 @@
         Quantity("core_share", "% of each relay below", fitted=False),
         Quantity("core_share_top", "%"),
         Quantity("memory_mb", "MB of a relay below", fitted=False),
-        LATE,
+        LATENESS,
         *FOLLOWER_QUANTITIES,
     ),
 )
 def tiers(size: float, run: Run) -> Measured:
     below = int(size)
-    each = 2 if run.tiny else TIER_FOLLOWERS
-    parts = below if run.tiny else 2 * below  # of 100 hollow gateways each
+    per_relay = 2 if run.tiny else TIER_FOLLOWERS
+    processes = below if run.tiny else 2 * below  # with 100 hollow gateways each
     with ExitStack() as stack:
-        log = log_of(run, stack)
-        top = Relay(run, stack, "top", [log.told["address"]], gather_of(run)).ready()
-        relays = ready([Relay(run, stack, f"below-{n}", [top.address], 0) for n in range(below)])
+        log = start_log(run, stack)
+        top = Relay(run, stack, "top", [log.told["address"]], gather_ms(run)).ready()
+        relays = wait_all_ready([Relay(run, stack, f"below-{n}", [top.address], 0) for n in range(below)])
         addresses = [relay.address for relay in relays]
-        asking = Followers(run, stack, addresses, each * below, each * below, "--gzip", parts=parts)
+        followers = Followers(
+            run,
+            stack,
+            addresses,
+            per_relay * below,
+            per_relay * below,
+            "--gzip",
+            processes=processes,
+        )
         for relay in (top, *relays):
-            relay.begin()
-        reports, took = told(log, asking, run)
-        shares = [CORE * relay.cpu / took for relay in (top, *relays)]
-        plain_only([top, *relays])
+            relay.take_baseline()
+        reports, took = run_purges(log, followers, run)
+        shares = [CORE_PERCENT * relay.cpu_seconds / took for relay in (top, *relays)]
+        require_normal_answers([top, *relays])
         for relay in relays:
-            require(relay.status()["followers"] == each, f"not {each} followers at each relay")
-        require(top.status()["followers"] == below, f"not {below} relays at the top")
+            require(relay.status()["followers"] == per_relay, f"not {per_relay} followers at each relay")
+        require(top.status()["followers"] == below, f"not {below} relays below the top one")
         return {
             "core_share": sum(shares[1:]) / below,
             "core_share_top": shares[0],
-            "memory_mb": max(relay.memory for relay in relays),
+            "memory_mb": max(relay.peak_memory_mb for relay in relays),
             "late_ms": log.ask("report")["late_ms"],
-            **asking.figures(reports, took),
+            **followers.figures(reports, took),
         }
 
 
 def burst(connects: Iterable[tuple[int, int]], since: int, ports: set[int]) -> int:
-    """The most connects to one of these ports within 100 ms, of those since then."""
-    most, recent = 0, {port: deque[int]() for port in ports}
+    """The maximum number of connects to one of these ports within 100 ms, from `since` (ms) on."""
+    largest, recent = 0, {port: deque[int]() for port in ports}
     for at, port in connects:
         if at >= since and port in recent:
-            held = recent[port]
-            held.append(at)
-            while held[0] <= at - BURST:
-                held.popleft()
-            most = max(most, len(held))
-    return most
+            window = recent[port]
+            window.append(at)
+            while window[0] <= at - BURST_MS:
+                window.popleft()
+            largest = max(largest, len(window))
+    return largest
 
 
 @measurement(
@@ -223,52 +244,67 @@
         Quantity("connects", "to the others, from the kill on", fitted=False),
         Quantity("connects_burst", "in 100 ms at one of the others, at most", fitted=False),
         Quantity("moved_ms", "ms from the kill to the last connect", fitted=False),
-        LATE,
-        FULLEST,
+        LATENESS,
+        BUSIEST_PROCESS,
     ),
 )
 def changeover(size: float, run: Run) -> Measured:
-    """Purges come on through it. Every follower knows all relays; each relay follows the log."""
-    count, many = round(2 * RATE * seconds(run)), 12 if run.tiny else CHANGEOVER_FOLLOWERS
+    """Purges continue throughout. Every follower knows all relays; each relay follows the log."""
+    count, follower_count = round(2 * PURGES_PER_S * purging_s(run)), 12 if run.tiny else CHANGEOVER_FOLLOWERS
     with ExitStack() as stack:
-        log = log_of(run, stack)
+        log = start_log(run, stack)
         above = [log.told["address"]]
-        relays = ready([Relay(run, stack, f"r-{n}", above, gather_of(run)) for n in range(int(size))])
+        relays = wait_all_ready(
+            [Relay(run, stack, f"r-{n}", above, gather_ms(run)) for n in range(int(size))]
+        )
         addresses = ",".join(relay.address for relay in relays)
-        parts = 1 if run.tiny else RELAY_PROCESSES
-        asking = Followers(run, stack, [addresses], many, many, "--gzip", parts=parts)
-        asking.begin()
+        processes = 1 if run.tiny else FOLLOWER_PROCESSES
+        followers = Followers(
+            run,
+            stack,
+            [addresses],
+            follower_count,
+            follower_count,
+            "--gzip",
+            processes=processes,
+        )
+        followers.take_baseline()
 
-        def at_each() -> list[int]:
+        def followers_by_relay() -> list[int]:
             return [relay.status()["followers"] for relay in relays]
 
-        until(lambda: sum(at_each()) == many, f"{many} followers at their relays")
-        # One of them has most to move.
+        until(lambda: sum(followers_by_relay()) == follower_count, f"{follower_count} followers connected")
+        # The relay with the most followers is the one killed.
         killed = max(relays, key=lambda relay: int(relay.status()["followers"]))
         moved = killed.status()["followers"]
         others = [relay for relay in relays if relay is not killed]
         began = time.monotonic()
-        log.command("purge", rate=RATE, count=count)
-        time.sleep(seconds(run))
-        ahead = asking.least()
-        at = time.time_ns() // 1_000_000
+        log.command("purge", rate=PURGES_PER_S, count=count)
+        time.sleep(purging_s(run))
+        held_before = followers.min_held()
+        killed_at = time.time_ns() // 1_000_000
         killed.program.kill()
-        reports, took = asking.hold(count), time.monotonic() - began
-        until(lambda: sum(relay.status()["followers"] for relay in others) == many, "all followers elsewhere")
-        connects = asking.connects()
+        reports, took = followers.wait_held(count), time.monotonic() - began
+        until(
+            lambda: sum(relay.status()["followers"] for relay in others) == follower_count,
+            "all followers at other relays",
+        )
+        connects = followers.connects()
         ports = {int(relay.address.rpartition(":")[2]) for relay in others}
-        again = [when for when, port in connects if when >= at and port in ports]
-        require(len(again) >= moved, f"{len(again)} connects of {moved} followers that lost their relay")
-        delays = [max(all_of) / 1000 for all_of in zip(*(r["delay_us"] for r in reports), strict=True)]
+        reconnects = [at for at, port in connects if at >= killed_at and port in ports]
+        require(
+            len(reconnects) >= moved, f"{len(reconnects)} connects of {moved} followers that lost their relay"
+        )
+        delays = [max(of_purge) / 1000 for of_purge in zip(*(r["delay_us"] for r in reports), strict=True)]
         return {
             "moved": float(moved),
             "delay_p100_ms": max(delays),
-            "before_ms": max(delays[:ahead], default=0.0),
-            "connects": float(len(again)),
-            "connects_burst": float(burst(connects, at, ports)),
-            "moved_ms": float(max(again) - at),
+            "before_ms": max(delays[:held_before], default=0.0),
+            "connects": float(len(reconnects)),
+            "connects_burst": float(burst(connects, killed_at, ports)),
+            "moved_ms": float(max(reconnects) - killed_at),
             "late_ms": log.ask("report")["late_ms"],
-            "fullest_process": asking.figures(reports, took)["fullest_process"],
+            "fullest_process": followers.figures(reports, took)["fullest_process"],
         }
 
 
@@ -290,31 +326,34 @@
     ),
 )
 def control_by_gather(size: float, run: Run) -> Measured:
-    """Core and memory are a real gateway's; bytes and delays those of a hollow one beside it."""
-    listed, count = MEMBERS_TINY if run.tiny else MEMBERS, round(RATE * seconds(run))
+    """Processor time and memory are a real gateway's; bytes and delays a hollow one's beside it."""
+    listed, count = MEMBERS_TINY if run.tiny else MEMBERS, round(PURGES_PER_S * purging_s(run))
     with ExitStack() as stack:
-        log = log_of(run, stack)
+        log = start_log(run, stack)
         relay = Relay(run, stack, "top", [log.told["address"]], int(size)).ready()
         path = run.where / "change-logs.toml"
         path.write_text(f'addresses = ["{relay.address}"]\n', "utf-8")
-        real = stack.enter_context(gateway(run, log, listed, "--change-logs", str(path)))
-        one = stack.enter_context(hollow(relay.address, run, 1, listed, "--gzip")).ready()
-        until(lambda: bool(relay.status()["followers"] == 2), "both followers")
-        relay.begin()
-        before, cpu, began = one.ask("report"), cpu_s(real.pid), time.monotonic()
-        log.command("purge", rate=RATE, count=count)
-        time.sleep(seconds(run))
-        until(lambda: relay.status()["lowest"] == count + 1, f"{count} purges at both")
-        took, spent = time.monotonic() - began, cpu_s(real.pid) - cpu
-        after = one.ask("report")
-        all_held(after, 1, count)
-        plain_only([relay])
+        real_gateway = stack.enter_context(gateway(run, log, listed, "--change-logs", str(path)))
+        hollow_gateway = stack.enter_context(hollow(relay.address, run, 1, listed, "--gzip")).ready()
+        until(lambda: bool(relay.status()["followers"] == 2), "two followers of the relay")
+        relay.take_baseline()
+        before, cpu, began = hollow_gateway.ask("report"), cpu_s(real_gateway.pid), time.monotonic()
+        log.command("purge", rate=PURGES_PER_S, count=count)
+        time.sleep(purging_s(run))
+        until(lambda: relay.status()["lowest"] == count + 1, f"{count} purges at both followers")
+        took, spent = time.monotonic() - began, cpu_s(real_gateway.pid) - cpu
+        after = hollow_gateway.ask("report")
+        require_all_held(after, 1, count)
+        require_normal_answers([relay])
         bytes_both = sum(after[name] - before[name] for name in ("bytes_in", "bytes_out"))
-        require(bytes_both < 120 * count + 1_000 * (after["polls"] - before["polls"]), f"{bytes_both} bytes")
+        require(
+            bytes_both < 120 * count + 1_000 * (after["polls"] - before["polls"]),
+            f"{bytes_both} bytes exceed the bound",
+        )
         return {
-            "core_share": CORE * spent / took,
+            "core_share": CORE_PERCENT * spent / took,
             "us_per_event": spent / count * 1e6,
-            "memory_mb": memory_mb(real.pid),
+            "memory_mb": memory_mb(real_gateway.pid),
             "bytes_per_s": bytes_both / took,
             "bytes_per_event": bytes_both / count,
             "delay_p100_ms": max(after["delay_us"]) / 1000,
--- a/tests/lab/test_capacity_control.py
+++ b/tests/lab/test_capacity_control.py
@@ -199,7 +199,7 @@
     log.command("purge", rate=400, count=60)
     until(lambda: followers.ask("least")["least"] == 60)
     report = followers.ask("report")
-    control.all_held(report, 5, 60)
+    control.require_all_held(report, 5, 60)
     assert report["lists"] == 0 and min(report["delay_us"]) >= 0
     until(lambda: log.ask("report")["confirmed"] == 61)
     log.command("change", members=2, whole=False)
@@ -213,18 +213,23 @@
 
 def test_counting_finds_what_is_lost_twice_or_never_made() -> None:
     purged = fleet.Purged(SEED)
-    cases = (([0, 2], "lost"), ([0, 1, 1], "twice"), ([0, None, 1], "foreign"), ([0], "to 1 of 2"))
+    cases = (
+        ([0, 2], "lost"),
+        ([0, 1, 1], "twice"),
+        ([0, None, 1], "foreign"),
+        ([0], "to 1 purges per follower, expected 2"),
+    )
     for order, word in cases:
         tally, follower = hollow.Tally(purged), hollow.Follower()
         for place in order:
             tally.took(follower, 1 if place is None else purged[place], 0)
         with pytest.raises(MeasurementError, match=word):
-            control.all_held(tally.report([follower]), 1, 2)
+            control.require_all_held(tally.report([follower]), 1, 2)
     tally, pair = hollow.Tally(purged), [hollow.Follower(), hollow.Follower()]
     for one in pair:
         for place in range(2):
             tally.took(one, purged[place], 0)
-    control.all_held(tally.report(pair), 2, 2)
+    control.require_all_held(tally.report(pair), 2, 2)
 
 
 def test_a_hollow_gateway_is_a_gateway_inside() -> None:
@@ -305,15 +310,15 @@
     run = Run(SEED, True, Random(SEED), tmp_path)
     with Child("changelog", "--members", LISTED, "--seed", SEED).ready() as log:
         with control.gateway(run, log, LISTED) as program:
-            told = control.purged(log, 200, 20, program.pid)
+            told = control.measure_purges(log, 200, 20, program.pid)
             assert told.events == 20 and 0 < told.answers <= 20 and told.cpu_s[0] > 0
-            with pytest.raises(MeasurementError, match="1 followers, 2 wanted"):
-                control.purged(log, 200, 20, program.pid, program.pid)
+            with pytest.raises(MeasurementError, match="1 followers of the log, 2 expected"):
+                control.measure_purges(log, 200, 20, program.pid, program.pid)
             other = threading.Thread(target=lambda: Asker(log).ask(21))  # told of one of them, then gone
             other.start()
             until(lambda: log.ask("report")["followers"] == 2)
-            with pytest.raises(MeasurementError, match="were told"):
-                control.purged(log, 200, 20, program.pid, program.pid)
+            with pytest.raises(MeasurementError, match="events sent; followers: 2"):
+                control.measure_purges(log, 200, 20, program.pid, program.pid)
             other.join()
         assert not alive(program.pid) and os.path.exists(tmp_path / "gateway.json")
 
@@ -329,26 +334,26 @@
     """Hollow and light ones together, over two relays; a purge that one process lacks is found."""
     run = Run(SEED, True, Random(SEED), tmp_path)
     with ExitStack() as stack:
-        log = relay.log_of(run, stack)
+        log = relay.start_log(run, stack)
         above = [log.told["address"]]
-        relays = relay.ready([relay.Relay(run, stack, f"r-{n}", above, 20) for n in range(2)])
-        asking = logs.Followers(run, stack, [r.address for r in relays], 6, 4, "--gzip", parts=2)
+        relays = relay.wait_all_ready([relay.Relay(run, stack, f"r-{n}", above, 20) for n in range(2)])
+        asking = logs.Followers(run, stack, [r.address for r in relays], 6, 4, "--gzip", processes=2)
         assert [(size, real) for _, size, real in asking.children] == [
             (2, True), (2, True), (1, False), (1, False),
         ]  # fmt: skip
-        asking.begin()
+        asking.take_baseline()
         log.command("purge", rate=1_000, count=30)
-        reports = asking.hold(30)
+        reports = asking.wait_held(30)
         figures = asking.figures(reports, 1.0)
         assert 0 < (figures["delay_p50_ms"] or 0) <= (figures["delay_p100_ms"] or 0)
         assert sorted(r.status()["followers"] for r in relays) == [3, 3]
-        relay.plain_only(relays)
+        relay.require_normal_answers(relays)
         assert {at for _, at in asking.connects()} == {int(r.address.split(":")[1]) for r in relays}
         reports[0]["held"][7] -= 1
         with pytest.raises(MeasurementError, match="not held by every follower"):
-            control.all_held(reports[0], 2, 30)
+            control.require_all_held(reports[0], 2, 30)
         asker = socket.create_connection(("127.0.0.1", int(relays[0].address.split(":")[1])), timeout=10)
         asker.sendall(b"GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n")
         assert asker.recv(100).startswith(b"HTTP/1.1 404 ")
-        with pytest.raises(MeasurementError, match="r-0 answered otherwise: {'bad': 1}"):
-            relay.plain_only(relays)
+        with pytest.raises(MeasurementError, match="r-0 sent unwanted answers: {'bad': 1}"):
+            relay.require_normal_answers(relays)
