--- a/hallproxy/lab/capacity/decisions.py
+++ b/hallproxy/lab/capacity/decisions.py
@@ -1,7 +1,7 @@
-"""What one decision costs: the module hears a request and says `Get`, then hears how that ended.
+"""Cost of one decision: the module receives a request, starts an attempt and then receives its outcome.
 
-One request is open at a time, of a gateway as the operators plan them (7,100 in 51 zones). Two members in
-nine are parents. Everything is warm, each answer good, each object new unless a measurement says otherwise.
+One request is open at a time, in a gateway as the operators plan them (7,100 in 51 zones). Two members in
+nine are parents. Everything is warm, each answer OK and each object new, except where a measurement differs.
 """
 
 import gc
@@ -29,45 +29,45 @@
 from hallproxy.wire.changelog import decode_endpoint
 
 NOW = 1_700_000_000 * fleet.SECOND
-BLOCKS = 5  # the median of so many means is the figure
-DECISIONS, FOR = 400, 1.2  # in a block: so many decisions, or as many as take so many s
+BLOCKS = 5  # the figure is the median of their means
+BLOCK_DECISIONS, BLOCK_TIME = 400, 1.2  # decisions in a block; time (s) after which it ends early
 
 
 class Decider:
-    """One router, its clock, and a count of what it was asked and said."""
+    """A router, its clock and the number of its requests."""
 
     def __init__(self, settings: Settings, members: tuple[Endpoint, ...], seed: int) -> None:
         self.router = Router(settings, seed)
-        self.now, self.asked = NOW, 0
+        self.now, self.requests = NOW, 0
         self.router.handle(self.now, [EndpointsChanged(EndpointListKind.FULL, members, 1)])
 
-    def one(self, obj: int, size_kb: float = 40.0) -> list[Action]:
-        """A request's whole way; what was said of it. Raises MeasurementError where that is no `Get`."""
-        self.asked += 1
-        ident = self.asked
+    def decide(self, obj: int, size_kb: float = 40.0) -> list[Action]:
+        """Run a request to its end; returns its actions. MeasurementError if none starts an attempt."""
+        self.requests += 1
+        ident = self.requests
         self.now += fleet.MS
-        said = self.router.handle(self.now, [Request(ident, 0, 5 * fleet.SECOND, obj, size_kb=size_kb)])
-        got = next((action for action in said if isinstance(action, StartAttempt)), None)
-        if got is None:
-            raise MeasurementError(f"request {ident} got no attempt: {said}")
+        actions = self.router.handle(self.now, [Request(ident, 0, 5 * fleet.SECOND, obj, size_kb=size_kb)])
+        attempt = next((action for action in actions if isinstance(action, StartAttempt)), None)
+        if attempt is None:
+            raise MeasurementError(f"request {ident} started no attempt: {actions}")
         self.now += fleet.MS
         self.router.handle(
-            self.now, [AttemptEnded(ident, 0, got.endpoint, AttemptStatus.OK, 20 * fleet.MS, True)]
+            self.now, [AttemptEnded(ident, 0, attempt.endpoint, AttemptStatus.OK, 20 * fleet.MS, True)]
         )
-        return said
+        return actions
 
-    def block(self, first: int, most: int) -> tuple[int, float]:
+    def block(self, first: int, limit: int) -> tuple[int, float]:
         """Decisions on new objects from number ``first`` on: how many, and the mean µs of one."""
         began = time.process_time()
-        for n in range(most):
-            self.one(first + n)
+        for n in range(limit):
+            self.decide(first + n)
             spent = time.process_time() - began
-            if spent > FOR:
+            if spent > BLOCK_TIME:
                 break
         return n + 1, spent / (n + 1) * 1e6
 
 
-def made(
+def settings_and_members(
     members: int, zones: int, run: Run, parents: int | None = None
 ) -> tuple[Settings, tuple[Endpoint, ...]]:
     settings = fleet.settings(zones)
@@ -76,11 +76,11 @@
 
 
 def _measure(members: int, zones: int, run: Run, parents: int | None = None) -> Measured:
-    settings, listed = made(members, zones, run, parents)
+    settings, listed = settings_and_members(members, zones, run, parents)
     decider = Decider(settings, listed, run.seed)
     blocks, first = [], 1
     for _ in range(1 if run.tiny else BLOCKS):
-        count, mean = decider.block(first, 20 if run.tiny else DECISIONS)
+        count, mean = decider.block(first, 20 if run.tiny else BLOCK_DECISIONS)
         first += count
         blocks.append(mean)
     router = decider.router
@@ -89,15 +89,15 @@
             f"{len(router.endpoints.by_id)} of {members} members, {len(router.requests)} requests open"
         )
     if sum(peer.in_flight for peer in router.endpoints.by_id.values()):
-        raise MeasurementError("attempts are out though all were answered")
+        raise MeasurementError("attempts are in flight though all were answered")
     caches = len(router.endpoints.caches)
     del decider, router
     gc.collect()
     tracemalloc.start()
-    again = Decider(settings, listed, run.seed)
+    traced = Decider(settings, listed, run.seed)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del again
+    del traced
     return {
         "decision_us": statistics.median(blocks),
         "memory_kb": size / 1e3,
@@ -153,37 +153,37 @@
                 Quantity("memory_kb", "KB", fitted=False), Quantity("counted", "", fitted=False)),
 )  # fmt: skip
 def objects(size: float, run: Run) -> Measured:
-    settings, listed = made(8 if run.tiny else 150, fleet.ZONES, run)
+    settings, listed = settings_and_members(8 if run.tiny else 150, fleet.ZONES, run)
     idents = [run.random.getrandbits(64) for _ in range(int(size))]
-    used: list[float] = []
-    for traced in (True, False):
+    peaks_kb: list[float] = []
+    for trace in (True, False):
         decider = Decider(settings, listed, run.seed)
         gc.collect()
-        if traced:
+        if trace:
             tracemalloc.start()
         began = time.process_time()
         for n, ident in enumerate(idents):
-            # All inside one ageing period of 10 s, so only the bound itself takes any out.
+            # All within one ageing period of 10 s, so that only the bound itself removes any.
             decider.router.handle(NOW + n * 8 * fleet.SECOND // len(idents), [ServedLocally(ident)])
         spent = time.process_time() - began
-        if traced:
-            used.append(tracemalloc.get_traced_memory()[1] / 1e3)
+        if trace:
+            peaks_kb.append(tracemalloc.get_traced_memory()[1] / 1e3)
             tracemalloc.stop()
     counted = len(decider.router.valuation.counts)
     if counted > COUNTS_MAX + 1 or (size <= COUNTS_MAX and counted != int(size)):
         raise MeasurementError(f"{counted} of {int(size)} objects are counted")
     decider.now = NOW + 8 * fleet.SECOND
-    blocks, first = [], 1 << 65  # past all that were drawn
+    blocks, first = [], 1 << 65  # above all drawn numbers
     for _ in range(1 if run.tiny else BLOCKS):
         count, mean = decider.block(first, 20 if run.tiny else 150)
         first += count
         blocks.append(mean)
     gains = decider.router.valuation.recent_gains
     if len(gains.recent) > RECENT_VALUES_MAX or len(gains.ordered) != len(gains.recent):
-        raise MeasurementError(f"{len(gains.recent)} gains are held")
+        raise MeasurementError(f"{len(gains.recent)} gains are stored")
     return {
         "decision_us": statistics.median(blocks),
         "count_us": spent / len(idents) * 1e6,
-        "memory_kb": used[0],
+        "memory_kb": peaks_kb[0],
         "counted": float(counted),
     }
--- a/hallproxy/lab/capacity/failures.py
+++ b/hallproxy/lab/capacity/failures.py
@@ -1,4 +1,4 @@
-"""The rows of the page's second table: what each failure of the size loses and costs, until all is whole."""
+"""Rows of the failures table: what each failure loses and costs until service is fully restored."""
 
 import json
 from dataclasses import dataclass
@@ -9,44 +9,44 @@
 from hallproxy.lab.capacity.size import SIZE, Size
 from hallproxy.run import change_log_poller, shutdown
 
-NOTICED = change_log_poller.POLL_WAIT / 1000 + change_log_poller.RESPONSE_TIMEOUT
-"""s after which a poll that is not answered has failed."""
-RACK = 10
-"""Stores of a rack, for the sake of an example: nobody told how many machines a rack has."""
+POLL_FAILURE_TIME = change_log_poller.POLL_WAIT / 1000 + change_log_poller.RESPONSE_TIMEOUT
+"""s after which an unanswered poll fails."""
+RACK_STORES = 10
+"""Stores of a rack, as an example: the operators give no number of machines per rack."""
 GROUPS = 256
 """Groups of objects; a whole page purges each of them."""
-EVENT = len(json.dumps({"seq": 10**9, "invalidate": {"object": "0" * 16, "time": 1_700_000_000_000}}))
-"""Bytes of a purge in a page, plain."""
+EVENT_BYTES = len(json.dumps({"seq": 10**9, "invalidate": {"object": "0" * 16, "time": 1_700_000_000_000}}))
+"""An uncompressed purge in a page."""
 
 
 @dataclass(frozen=True)
 class Failure:
-    """`often` is the operators'; `lost` and `noticed` are said in words, `until` and `cost` worked out."""
+    """`frequency` is the operators'; `loss` and `detection` are text; `recovery` and `cost` are computed."""
 
     name: str
-    often: str
-    lost: str
-    noticed: str
-    until: Figure
+    frequency: str
+    loss: str
+    detection: str
+    recovery: Figure
     cost: Figure
-    cost_of: str
+    cost_text: str
     mechanism: Mechanism
 
 
-def _whole(objects: float) -> Figure:
-    """A store's objects asked for again, each once, at the rate that requests come to it."""
+def _objects_requested(objects: float) -> Figure:
+    """A store's objects requested again, each once, at its rate of requests."""
     rate = SIZE.requests / SIZE.stores
     text = f"{num(objects)} objects asked for again at {num(rate)} requests/s, at the very least"
     return Figure("min", lambda size: Worked(objects / rate / 60, text))
 
 
 def _refilled(stores: float) -> Figure:
-    held = SIZE.objects / SIZE.stores
-    text = f"{num(stores)} × {num(held)} objects × {num(SIZE.body_kb)} KB"
-    return Figure("TB", lambda size: Worked(stores * held * SIZE.body_kb / 1e9, text))
+    objects = SIZE.objects / SIZE.stores
+    text = f"{num(stores)} × {num(objects)} objects × {num(SIZE.body_kb)} KB"
+    return Figure("TB", lambda size: Worked(stores * objects * SIZE.body_kb / 1e9, text))
 
 
-def _told_lists(stores: float) -> Figure:
+def _list_changes(stores: float) -> Figure:
     def work(size: Size, change: Slope) -> Worked:
         ms = change.at(size.stores)
         return Worked(3 * stores * ms, f"3 × {num(stores)} changes of the list × {num(ms)} ms")
@@ -74,47 +74,48 @@
     return Worked(ms / 1e3, f"{num(size.site)} gateways start on the cores of one machine")
 
 
-def _missed(size: Size) -> Worked:
+def _missed_events(size: Size) -> Worked:
     events = size.purges * size.cut
-    seconds = events * EVENT / size.control_bytes
+    seconds = events * EVENT_BYTES / size.control_bytes
     text = (
-        f"{num(size.purges)}/s × {num(size.cut)} s = {num(events)} events × {num(EVENT)} bytes "
+        f"{num(size.purges)}/s × {num(size.cut)} s = {num(events)} events × {num(EVENT_BYTES)} bytes "
         f"÷ {num(size.control_bytes)} bytes/s"
     )
     return Worked(seconds, text)
 
 
 def _whole_page(size: Size, listed: Slope) -> Worked:
-    each = (listed.at(size.stores) + GROUPS * EVENT) / size.control_bytes
+    each = (listed.at(size.stores) + GROUPS * EVENT_BYTES) / size.control_bytes
     text = (
-        f"({num(listed.at(size.stores))} bytes of the list + {num(GROUPS)} groups × {num(EVENT)} bytes) "
+        f"({num(listed.at(size.stores))} bytes of the list + {num(GROUPS)} groups × "
+        f"{num(EVENT_BYTES)} bytes) "
         f"÷ {num(size.control_bytes)} bytes/s"
     )
     return Worked(each, text)
 
 
 def _whole_pages(size: Size, listed: Slope) -> Worked:
-    each = (listed.at(size.stores) + GROUPS * EVENT) / 1e6
+    each = (listed.at(size.stores) + GROUPS * EVENT_BYTES) / 1e6
     text = f"{num(size.region_gateways)} gateways × {num(each)} MB, plain"
     return Worked(size.region_gateways * each, text)
 
 
-def _moved(size: Size) -> Worked:
-    polls = size.followers
-    text = f"{num(polls)} followers connect anew to {num(size.control_machines - 1)} machines"
-    return Worked(polls / (size.control_machines - 1), text)
+def _moved_followers(size: Size) -> Worked:
+    followers = size.followers
+    text = f"{num(followers)} followers connect anew to {num(size.control_machines - 1)} machines"
+    return Worked(followers / (size.control_machines - 1), text)
 
 
 LISTED = Need("control.members", "bytes_whole")
-HELD = SIZE.objects / SIZE.stores
+STORE_OBJECTS = SIZE.objects / SIZE.stores
 
 FAILURES = (
     Failure(
         "a store's machine",
         f"{num(SIZE.failed_a_day)} machines a day, if all were stores",
-        f"{num(HELD)} copies; the attempts that are out at it",
+        f"{num(STORE_OBJECTS)} copies; the attempts that are out at it",
         "by each gateway for itself: two failed connects, or answers that stay away; by all through the list",
-        _whole(HELD),
+        _objects_requested(STORE_OBJECTS),
         _refilled(1),
         "fills from parents and origin",
         program.MODULE,
@@ -155,23 +156,24 @@
         program.DRAIN,
     ),
     Failure(
-        f"a rack or switch; for each {RACK} stores on it",
+        f"a rack or switch; for each {RACK_STORES} stores on it",
         f"{num(SIZE.racks_a_week)} a week",
-        f"{num(RACK)} of a zone's {num(SIZE.zone_stores)} stores and {num(RACK * HELD)} copies",
+        f"{num(RACK_STORES)} of a zone's {num(SIZE.zone_stores)} stores and "
+        f"{num(RACK_STORES * STORE_OBJECTS)} copies",
         "as a store's machine, at all of them at once; a switch that comes back brings the copies back",
-        _whole(HELD),
-        _told_lists(RACK),
+        _objects_requested(STORE_OBJECTS),
+        _list_changes(RACK_STORES),
         "changes of the list",
         program.MEMBERS,
     ),
     Failure(
         "a zone",
         f"at most {num(SIZE.zones_a_year)} a year",
-        f"{num(SIZE.zone_stores)} stores with {num(SIZE.zone_stores * HELD)} copies, "
+        f"{num(SIZE.zone_stores)} stores with {num(SIZE.zone_stores * STORE_OBJECTS)} copies, "
         f"{num(SIZE.zone_gateways)} gateways with {num(SIZE.requests / SIZE.zones)} requests/s",
         "stores as one machine each, all at once; gateways by clients and the front",
-        _whole(HELD),
-        _told_lists(SIZE.zone_stores),
+        _objects_requested(STORE_OBJECTS),
+        _list_changes(SIZE.zone_stores),
         "changes of the list",
         program.MEMBERS,
     ),
@@ -197,7 +199,7 @@
         "now and then",
         f"news at {num(SIZE.region_gateways)} gateways: {num(SIZE.purges * SIZE.cut)} purges and "
         f"{num(SIZE.changes * SIZE.cut)} changes of configuration; own copies rest",
-        f"by each gateway: a poll fails after {num(NOTICED)} s",
+        f"by each gateway: a poll fails after {num(POLL_FAILURE_TIME)} s",
         Figure(
             "s",
             lambda size: Worked(program.DEAF_IN, "own copies rest so long after the last news"),
@@ -218,12 +220,13 @@
         "now and then",
         "nothing more; what was purged meanwhile is not served until it is told",
         "the first answer of the log",
-        Figure("s", _missed, allowed=SIZE.purge_in),
+        Figure("s", _missed_events, allowed=SIZE.purge_in),
         Figure(
             "GB",
             lambda size: Worked(
-                size.region_gateways * size.purges * size.cut * EVENT / 1e9,
-                f"{num(size.region_gateways)} gateways × {num(size.purges * size.cut)} × {num(EVENT)} bytes",
+                size.region_gateways * size.purges * size.cut * EVENT_BYTES / 1e9,
+                f"{num(size.region_gateways)} gateways × {num(size.purges * size.cut)} × "
+                f"{num(EVENT_BYTES)} bytes",
             ),
         ),
         "to the region, plain",
@@ -243,7 +246,7 @@
         "a control machine",
         "as other machines",
         f"news at {num(SIZE.followers)} gateways until they follow another",
-        f"at once where the connection is reset; else a poll fails after {num(NOTICED)} s",
+        f"at once where the connection is reset; else a poll fails after {num(POLL_FAILURE_TIME)} s",
         Figure(
             "ms",
             lambda size, delay: Worked(
@@ -254,7 +257,7 @@
             (Need("relay.changeover", "delay_p100_ms"),),
             1e3 * SIZE.purge_in,
         ),
-        Figure("followers more at each other", _moved),
+        Figure("followers more at each other", _moved_followers),
         "changing over",
         program.RELAY,
     ),
@@ -262,7 +265,7 @@
         "the change log itself",
         "not told",
         "all news everywhere; own copies rest at all gateways",
-        f"by each follower: a poll fails after {num(NOTICED)} s",
+        f"by each follower: a poll fails after {num(POLL_FAILURE_TIME)} s",
         Figure(
             "s",
             lambda size: Worked(program.DEAF_IN, "own copies rest; news come when the log is back"),
@@ -311,25 +314,25 @@
 )  # fmt: skip
 
 
-def failure_line(one: Failure, size: Size, slopes: Slopes) -> list[str]:
-    """The cells of the table; the verdict is that of the time until all is whole."""
-    until, used = one.until.worked(size, slopes)
-    cost, also = one.cost.worked(size, slopes)
-    verdict = one.until.verdict(until.value) if one.mechanism.there else "**missing**"
+def failure_line(failure: Failure, size: Size, slopes: Slopes) -> list[str]:
+    """The cells of a failure's line; the verdict is that of its recovery time."""
+    recovery, recovery_slopes = failure.recovery.worked(size, slopes)
+    cost, cost_slopes = failure.cost.worked(size, slopes)
+    verdict = failure.recovery.verdict(recovery.value) if failure.mechanism.there else "**missing**"
     return [
-        one.name,
-        one.often,
-        one.lost,
-        one.noticed,
-        _said(until, one.until),
-        _said(cost, one.cost) + f" ({one.cost_of})",
-        sources([*used, *also]),
-        one.until.bound(),
+        failure.name,
+        failure.frequency,
+        failure.loss,
+        failure.detection,
+        _result(recovery, failure.recovery),
+        _result(cost, failure.cost) + f" ({failure.cost_text})",
+        sources([*recovery_slopes, *cost_slopes]),
+        failure.recovery.bound(),
         verdict,
-        str(one.mechanism),
+        str(failure.mechanism),
     ]
 
 
-def _said(came: Worked, figure: Figure) -> str:
-    result = "not measured" if came.value != came.value else amount(came.value, figure.unit)
-    return f"{came.text} = {result}" if came.text else result
+def _result(worked: Worked, figure: Figure) -> str:
+    result = "not measured" if worked.value != worked.value else amount(worked.value, figure.unit)
+    return f"{worked.text} = {result}" if worked.text else result
--- a/hallproxy/lab/capacity/lists.py
+++ b/hallproxy/lab/capacity/lists.py
@@ -1,7 +1,7 @@
-"""What a list of members costs a gateway, and what one change of it does.
+"""Cost of a list of members at a gateway, and of one change of it.
 
-News goes the way it goes in a gateway: `decode_page`, `decode_events`, `reduce`. Two members in nine are
-parents (`fleet.CACHES_A_PARENT`), but for `lists.parents`, which sets them.
+Events take the same path as in a gateway: `decode_page`, `decode_events`, `reduce`. Two members in nine are
+parents (`fleet.CACHES_A_PARENT`), except in `lists.parents`, which sets their number.
 """
 
 import json
@@ -17,67 +17,73 @@
 from hallproxy.wire.changelog import decode_events, decode_page
 
 NOW = 1_700_000_000 * fleet.SECOND
-CHANGES, CHANGES_FOR = 25, 3.0  # so many changes, or as many as take so many s of processor time
+MAX_CHANGES, MAX_CHANGES_TIME = 25, 3.0  # changes at one size; processor time (s) after which they end
 
 
 class Gateway:
-    """The state of one gateway and the last number that it heard."""
+    """The state of one gateway and the sequence number of the last event that it processed."""
 
     def __init__(self, seed: int, zones: int = fleet.ZONES) -> None:
         settings = fleet.settings(zones)
         self.state = GatewayState(settings, Router(settings, seed))
-        self.heard = 0
+        self.last_seq = 0
         self.now = NOW
 
-    def hear(self, raw: bytes) -> float:
-        """Take in one page, as it comes from the wire; the processor time it took, in s."""
+    def process_page(self, raw: bytes) -> float:
+        """Process one page in its wire form; returns the processor time (s)."""
         self.now += fleet.MS
         began = time.process_time()
-        for seq, event in decode_events(decode_page(raw), self.heard, self.state.settings, self.now):
+        for seq, event in decode_events(decode_page(raw), self.last_seq, self.state.settings, self.now):
             if event is not None:
                 reduce(self.state, event)
-            self.heard = seq
+            self.last_seq = seq
         return time.process_time() - began
 
     def ready(self) -> int:
-        """How many members the module would use or look at, as it sees them."""
+        """How many members are READY in the decision module's view."""
         return sum(peer.endpoint.state.name == "READY" for peer in self.state.router.endpoints.by_id.values())
 
 
 def _measure(members: int, parents: int, run: Run) -> Measured:
     listed = fleet.lines(members, run.random, parents=parents)
     raw = json.dumps(fleet.page([fleet.whole(listed)])).encode()
-    fulls = []
+    list_times = []
     for _ in range(1 if run.tiny else 3):
         gateway = Gateway(run.seed)
-        fulls.append(gateway.hear(raw))
+        list_times.append(gateway.process_page(raw))
     if len(gateway.state.endpoints.by_id) != members or gateway.ready() != members:
-        raise MeasurementError(f"{gateway.ready()} of {members} members are held")
+        raise MeasurementError(f"{gateway.ready()} of {members} members are in the list and ready")
     tiers = gateway.state.router.endpoints.source_tiers
     if sum(map(len, tiers)) > parents + 1 or len(tiers[-1]) != 1:
         raise MeasurementError(f"{sum(map(len, tiers))} sources of {parents} parents and an origin")
-    part = sum(peer.fill_share for tier in tiers[:-1] for peer in tier)
-    hub = sum(gateway.state.settings.gateways_by_zone[: fleet.ZONES_OF_HUB])
-    if not 0 < part <= hub * (1 + 1e-6):
-        raise MeasurementError(f"parents are to get {part} of the region's {hub} gateways' fills")
+    fill_share = sum(peer.fill_share for tier in tiers[:-1] for peer in tier)
+    hub_gateways = sum(gateway.state.settings.gateways_by_zone[: fleet.ZONES_OF_HUB])
+    if not 0 < fill_share <= hub_gateways * (1 + 1e-6):
+        raise MeasurementError(
+            f"parents have a fill share of {fill_share} for the region's {hub_gateways} gateways"
+        )
     caches = [line for line in listed if line["machineType"] == "std"]
     changes: list[float] = []
-    for n, line in enumerate(caches[:-1][: 3 if run.tiny else CHANGES]):
-        told = json.dumps(fleet.page([fleet.change(line, 2 + n, lifecycle="Terminating")], gateway.heard + 1))
-        changes.append(gateway.hear(told.encode()))
-        if sum(changes) > CHANGES_FOR and n >= 4:
+    for n, line in enumerate(caches[:-1][: 3 if run.tiny else MAX_CHANGES]):
+        drain = json.dumps(
+            fleet.page([fleet.change(line, 2 + n, lifecycle="Terminating")], gateway.last_seq + 1)
+        )
+        changes.append(gateway.process_page(drain.encode()))
+        if sum(changes) > MAX_CHANGES_TIME and n >= 4:
             break
-    if gateway.ready() != members - len(changes) or gateway.heard != 1 + len(changes):
-        raise MeasurementError(f"{gateway.ready()} are ready after {len(changes)} of {members} drained")
+    if gateway.ready() != members - len(changes) or gateway.last_seq != 1 + len(changes):
+        raise MeasurementError(
+            f"{gateway.ready()} members are ready after {len(changes)} of {members} drained"
+        )
     del gateway
     tracemalloc.start()
-    held = Gateway(run.seed)
-    held.hear(raw)
+    traced = Gateway(run.seed)
+    traced.process_page(raw)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return {
         "change_ms": statistics.median(changes) * 1e3 if changes else None,
-        "full_ms": statistics.median(fulls) * 1e3,
+        "full_ms": statistics.median(list_times) * 1e3,
         "memory_mb": size / 1e6,
         "list_kb": len(raw) / 1e3,
         "parents": float(parents),
--- a/hallproxy/lab/capacity/page.py
+++ b/hallproxy/lab/capacity/page.py
@@ -150,7 +150,7 @@
 def _failures(of: Slopes) -> list[str]:
     head = ("failure", "how often", "what is lost", "how it is noticed", "until all is whole",
             "what it costs", "slope", "allowed", "verdict", "mechanism")  # fmt: skip
-    return table(head, [failure_line(one, SIZE, of) for one in FAILURES])
+    return table(head, [failure_line(failure, SIZE, of) for failure in FAILURES])
 
 
 def _verdicts(of: Slopes) -> list[str]:
@@ -160,7 +160,7 @@
     for role, title in ROLES.items():
         said = [row_line(row, SIZE, of)[6] for row in ROWS if row.role == role]
         lines.append([title, *(str(said.count(kind)) for kind in kinds)])
-    said = [failure_line(one, SIZE, of)[8] for one in FAILURES]
+    said = [failure_line(failure, SIZE, of)[8] for failure in FAILURES]
     lines.append(["Failures", *(str(said.count(kind)) for kind in kinds)])
     return table(("role", *(kind.strip("*") for kind in kinds)), lines)
 
--- a/hallproxy/lab/capacity/purges.py
+++ b/hallproxy/lab/capacity/purges.py
@@ -1,4 +1,4 @@
-"""What purges cost a gateway: those it holds, those it hears, also with own copies held."""
+"""Cost of purges at a gateway: of storing them, of processing them, and of both with own copies stored."""
 
 import gc
 import json
@@ -14,7 +14,7 @@
 from hallproxy.state.units import MB
 
 RATE = 180  # purges a second at the operators' size
-ROUNDS = 3  # the median of so many is the figure
+ROUNDS = 3  # the figure is their median
 
 
 @measurement(
@@ -27,10 +27,10 @@
                 Quantity("floor_reached", "", fitted=False), Quantity("floor_age_s", "s", fitted=False)),
 )  # fmt: skip
 def held(size: float, run: Run) -> Measured:
-    many = int(size)
+    count = int(size)
     settings = fleet.settings()
-    idents = [run.random.getrandbits(63) | 1 for _ in range(many)]
-    times = [NOW + n * fleet.SECOND // RATE for n in range(many)]
+    idents = [run.random.getrandbits(63) | 1 for _ in range(count)]
+    times = [NOW + n * fleet.SECOND // RATE for n in range(count)]
     adds, lookups = [], []
     for _ in range(1 if run.tiny else ROUNDS):
         purges = PurgeTable()
@@ -39,25 +39,25 @@
         for ident, at in zip(idents, times, strict=True):
             purges.expire(at, at)
             purges.add(ident, 0, at, at, at)
-        adds.append((time.process_time() - began) / many * 1e6)
+        adds.append((time.process_time() - began) / count * 1e6)
         began = time.process_time()
         for ident in idents:
             purges.purged_at(ident, 0)
-        lookups.append((time.process_time() - began) / many * 1e6)
-    # By the settings, reckoned apart from the table: done everywhere, a second, two fills.
-    kept = settings.purge_duration + fleet.SECOND + 2 * max(cls.deadline for cls in settings.classes)
-    not_over = sum(at >= times[-1] - kept for at in times)
-    floor = _check(purges, idents[-not_over:], times[-not_over:])
+        lookups.append((time.process_time() - began) / count * 1e6)
+    # The retention by the settings, computed without the table: done everywhere, a second, two fills.
+    retention = settings.purge_duration + fleet.SECOND + 2 * max(cls.deadline for cls in settings.classes)
+    unexpired = sum(at >= times[-1] - retention for at in times)
+    floor = _check(purges, idents[-unexpired:], times[-unexpired:])
     gc.collect()
     tracemalloc.start()
-    burst = PurgeTable()
-    burst.configure(settings, 0)
+    unexpiring = PurgeTable()
+    unexpiring.configure(settings, 0)
     for ident, at in zip(idents, times, strict=True):
-        burst.expire(NOW, NOW)
-        burst.add(ident, 0, at, at, NOW)
+        unexpiring.expire(NOW, NOW)
+        unexpiring.add(ident, 0, at, at, NOW)
     used = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    _check(burst, idents, times)
+    _check(unexpiring, idents, times)
     return {
         "memory_kb": used / 1e3,
         "add_us": statistics.median(adds),
@@ -69,29 +69,29 @@
 
 
 def _check(purges: PurgeTable, idents: list[int], times: list[int]) -> int:
-    """The floor of a table that must know of these purges, none of which is over, and of no others."""
-    never_told = 1 << 64
-    many, floor, over = len(idents), purges.watermark.purged_at, max(0, len(idents) - MAX_PURGES)
-    if len(purges.objects) != min(many, MAX_PURGES) or purges.purged_at(never_told, 0) != floor:
-        raise MeasurementError(f"{len(purges.objects)} of {many} purges are held, floor {floor}")
-    if floor != (times[over - 1] if over else NEVER.purged_at):
-        raise MeasurementError(f"the floor is {floor} after {over} purges that had no room")
+    """Check that a table has these unexpired purges and no others; returns its floor."""
+    never_purged = 1 << 64
+    count, floor, excess = len(idents), purges.watermark.purged_at, max(0, len(idents) - MAX_PURGES)
+    if len(purges.objects) != min(count, MAX_PURGES) or purges.purged_at(never_purged, 0) != floor:
+        raise MeasurementError(f"{len(purges.objects)} of {count} purges are held, floor {floor}")
+    if floor != (times[excess - 1] if excess else NEVER.purged_at):
+        raise MeasurementError(f"the floor is {floor} after {excess} purges over the table's limit")
     if any(purges.purged_at(ident, 0) < at for ident, at in zip(idents, times, strict=True)):
-        raise MeasurementError("a purge that was told is not known any more")
+        raise MeasurementError("the table has lost a purge that has not expired")
     return floor
 
 
-def _page(many: int, run: Run, seq: int) -> bytes:
-    told = [fleet.purge(run.random.getrandbits(63) | 1, NOW // fleet.MS + n, n % 256) for n in range(many)]
-    return json.dumps(fleet.page(told, seq)).encode()
+def _page(count: int, run: Run, seq: int) -> bytes:
+    events = [fleet.purge(run.random.getrandbits(63) | 1, NOW // fleet.MS + n, n % 256) for n in range(count)]
+    return json.dumps(fleet.page(events, seq)).encode()
 
 
-def _event_us(gateway: Gateway, pages: int, many: int, run: Run) -> float:
-    """The median over pages of the mean µs of one event in it."""
+def _event_us(gateway: Gateway, pages: int, count: int, run: Run) -> float:
+    """The median over pages of a page's mean µs per event."""
     spent = []
     for _ in range(pages):
-        raw = _page(many, run, gateway.heard + many)
-        spent.append(gateway.hear(raw) / many * 1e6)
+        raw = _page(count, run, gateway.last_seq + count)
+        spent.append(gateway.process_page(raw) / count * 1e6)
     return statistics.median(spent)
 
 
@@ -104,18 +104,20 @@
                 Quantity("event_bytes", "bytes", fitted=False)),
 )  # fmt: skip
 def events(size: float, run: Run) -> Measured:
-    many = int(size)
+    count = int(size)
     gateway = Gateway(run.seed)
-    pages = 2 if run.tiny else max(7, 2_000 // many)
-    event = _event_us(gateway, pages, many, run)
-    told = pages * many
-    kept = len(gateway.state.purges.objects)
-    if gateway.heard != told or kept != min(told, MAX_PURGES):
-        raise MeasurementError(f"{kept} purges are held after {told}, number {gateway.heard}")
+    pages = 2 if run.tiny else max(7, 2_000 // count)
+    event = _event_us(gateway, pages, count, run)
+    published = pages * count
+    stored = len(gateway.state.purges.objects)
+    if gateway.last_seq != published or stored != min(published, MAX_PURGES):
+        raise MeasurementError(
+            f"{stored} purges are held after {published}, sequence number {gateway.last_seq}"
+        )
     return {
         "event_us": event,
-        "page_us": event * many,
-        "event_bytes": len(_page(many, run, many)) / many,
+        "page_us": event * count,
+        "event_bytes": len(_page(count, run, count)) / count,
     }
 
 
@@ -126,22 +128,22 @@
     quantities=(Quantity("event_us", "us"), Quantity("core_percent", "%")),
 )  # fmt: skip
 def copies(size: float, run: Run) -> Measured:
-    many = int(size)
+    count = int(size)
     gateway = Gateway(run.seed)
     state = gateway.state
     state.local_cache.resize(256 * MB * 3 // 20)
-    for n in range(many):
+    for n in range(count):
         entry = LocalCacheEntry(b"%0512d" % n, "t", NOW, n % 256, 1 + n % 3)
         state.local_cache.put(CacheKey(0, n + 1 << 64, 0), entry)
-    if sum(map(len, state.local_cache.ranks)) != many:
-        raise MeasurementError(f"{sum(map(len, state.local_cache.ranks))} of {many} copies are held")
+    if sum(map(len, state.local_cache.ranks)) != count:
+        raise MeasurementError(f"{sum(map(len, state.local_cache.ranks))} of {count} copies are held")
     pages = 2 if run.tiny else 9
     event = _event_us(gateway, pages, 10, run)
-    gone = many - sum(map(len, state.local_cache.ranks))
-    if gone or len(state.purges.objects) != pages * 10:
-        raise MeasurementError(f"{gone} copies left by purges of other objects")
-    last = fleet.page([fleet.purge(1 << 64, NOW // fleet.MS + 1)], gateway.heard + 1)
-    gateway.hear(json.dumps(last).encode())
-    if sum(map(len, state.local_cache.ranks)) != many - 1:
-        raise MeasurementError("a purge did not take its object's copy")
+    removed = count - sum(map(len, state.local_cache.ranks))
+    if removed or len(state.purges.objects) != pages * 10:
+        raise MeasurementError(f"{removed} copies were removed by purges of other objects")
+    last = fleet.page([fleet.purge(1 << 64, NOW // fleet.MS + 1)], gateway.last_seq + 1)
+    gateway.process_page(json.dumps(last).encode())
+    if sum(map(len, state.local_cache.ranks)) != count - 1:
+        raise MeasurementError("a purge did not remove its object's copy")
     return {"event_us": event, "core_percent": event * RATE / 1e4}
--- a/hallproxy/lab/capacity/second.py
+++ b/hallproxy/lab/capacity/second.py
@@ -1,8 +1,8 @@
-"""What the second front (package repositories) costs: files answered from memory, and projects held.
+"""Cost of the second front (package repositories): files answered from memory, and projects held.
 
-A front in a process of its own with the operators' deploy file, and a stand-in upstream beside the client.
-Requests come at a steady pace: a front whose core has no more time turns requests away (503, `Retry-After`),
-and on a busy machine it may all the same. Such a request is asked again after the time told, and counted.
+The front runs in its own process with the operators' deploy file; a stand-in upstream runs beside the client.
+Requests are sent at a steady rate: a front whose core is saturated rejects requests (503, `Retry-After`), and
+on a busy machine it may reject some anyway. A rejected request is repeated after `Retry-After` and counted.
 """
 
 import hashlib
@@ -18,8 +18,8 @@
 from hallproxy.lab.standin import JSON, Stand, front_process, upstream
 
 INDEX_FILES = 10
-PACE = 250.0  # requests a second
-AWAY_MOST = 5  # requests turned away; more are no measurement
+REQUEST_RATE = 250.0  # requests a second
+MAX_REJECTED = 5  # requests; more make the measurement invalid
 
 
 def index_of(project: str, files: dict[str, bytes]) -> bytes:
@@ -35,43 +35,43 @@
     return json.dumps({"meta": {"api-version": "1.0"}, "name": project, "files": entries}).encode()
 
 
-class Kept:
-    """One kept connection of a client. A bare socket: the library's takes longer than the front does."""
+class PersistentConnection:
+    """A persistent client connection on a plain socket: the library's client is slower than the front."""
 
-    def __init__(self, port: int, pace: float = PACE) -> None:
-        self._every, self._due = 1 / pace, 0.0
-        self.away = 0  # requests turned away
-        self._made = socket.create_connection(("127.0.0.1", port), 30)
-        self._file = BufferedReader(SocketIO(self._made, "r"), 1 << 20)
+    def __init__(self, port: int, rate: float = REQUEST_RATE) -> None:
+        self._interval, self._next_at = 1 / rate, 0.0
+        self.rejected = 0  # rejected requests
+        self._socket = socket.create_connection(("127.0.0.1", port), 30)
+        self._file = BufferedReader(SocketIO(self._socket, "r"), 1 << 20)
 
     def ask(self, path: str) -> bytes:
-        """The body of a 200, in the connection's pace; raises MeasurementError at any other answer."""
+        """The body of a 200, at the connection's rate. Raises MeasurementError for any other final answer."""
         while True:
-            time.sleep(max(0.0, self._due - time.perf_counter()))
-            self._due = max(self._due, time.perf_counter() - self._every) + self._every
-            status, again, body = self._one(path)
+            time.sleep(max(0.0, self._next_at - time.perf_counter()))
+            self._next_at = max(self._next_at, time.perf_counter() - self._interval) + self._interval
+            status, retry_after, body = self._request(path)
             if status == 200:
                 return body
-            if status != 503 or not again or self.away >= AWAY_MOST:
-                raise MeasurementError(f"{path}: {status} after {self.away} turned away")
-            self.away += 1
-            time.sleep(again)
-
-    def _one(self, path: str) -> tuple[int, int, bytes]:
-        """Status, s after which to ask again, body."""
-        self._made.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\nAccept: {JSON}\r\n\r\n".encode())
-        words, told = self._file.readline().split(), {"content-length": 0, "retry-after": 0}
-        if len(words) < 2:
-            raise MeasurementError(f"{path}: the connection ended")
+            if status != 503 or not retry_after or self.rejected >= MAX_REJECTED:
+                raise MeasurementError(f"{path}: {status} after {self.rejected} rejected requests")
+            self.rejected += 1
+            time.sleep(retry_after)
+
+    def _request(self, path: str) -> tuple[int, int, bytes]:
+        """Status, `Retry-After` in s, body."""
+        self._socket.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\nAccept: {JSON}\r\n\r\n".encode())
+        status_line, fields = self._file.readline().split(), {"content-length": 0, "retry-after": 0}
+        if len(status_line) < 2:
+            raise MeasurementError(f"{path}: the front ended the connection")
         while (line := self._file.readline()) not in (b"\r\n", b""):
             name, _, value = line.decode().partition(":")
-            if name.lower() in told:
-                told[name.lower()] = int(value)
-        return int(words[1]), told["retry-after"], self._file.read(told["content-length"])
+            if name.lower() in fields:
+                fields[name.lower()] = int(value)
+        return int(status_line[1]), fields["retry-after"], self._file.read(fields["content-length"])
 
     def close(self) -> None:
         self._file.close()
-        self._made.close()
+        self._socket.close()
 
 
 @measurement(
@@ -82,22 +82,26 @@
                 Quantity("turned_away", "requests", fitted=False)), minutes=1.0,
 )  # fmt: skip
 def indexes(size: float, run: Run) -> Measured:
-    held = {f"many-1.{n}-py3-none-any.whl": b"%d" % n for n in range(int(size))}
-    many = 20 if run.tiny else 600
-    text = upstream({"many": index_of("many", held)})
+    wheels = {f"many-1.{n}-py3-none-any.whl": b"%d" % n for n in range(int(size))}
+    count = 20 if run.tiny else 600
+    text = upstream({"many": index_of("many", wheels)})
     with front_process(Path(run.where), text) as (port, pid):
-        client = Kept(port)
-        first = client.ask("/simple/many/")
+        client = PersistentConnection(port)
+        expected = client.ask("/simple/many/")
         for _ in range(3 if run.tiny else 50):
             client.ask("/simple/many/")
         began = processor_s(pid)
-        wrong = sum(client.ask("/simple/many/") != first for _ in range(many))
+        wrong = sum(client.ask("/simple/many/") != expected for _ in range(count))
         spent = processor_s(pid) - began
         client.close()
-    listed = {file["filename"] for file in json.loads(first)["files"]}
-    if wrong or listed != set(held):
-        raise MeasurementError(f"{wrong} of {many} answers are wrong, {len(listed)} files of {len(held)}")
-    return {"core_us": spent / many * 1e6, "index_kb": len(first) / 1e3, "turned_away": float(client.away)}
+    listed = {file["filename"] for file in json.loads(expected)["files"]}
+    if wrong or listed != set(wheels):
+        raise MeasurementError(f"{wrong} of {count} answers are wrong, {len(listed)} files of {len(wheels)}")
+    return {
+        "core_us": spent / count * 1e6,
+        "index_kb": len(expected) / 1e3,
+        "turned_away": float(client.rejected),
+    }
 
 
 @measurement(
@@ -110,22 +114,24 @@
 def files(size: float, run: Run) -> Measured:
     name = "many-1.0-py3-none-any.whl"
     body = run.random.randbytes(int(size * 1_000))
-    many = 20 if run.tiny else 600 if size <= 100 else 100
+    count = 20 if run.tiny else 600 if size <= 100 else 100
     text = upstream({name: body, "many": index_of("many", {name: body})})
     before = Stand.asked
     with front_process(Path(run.where), text) as (port, pid):
-        client = Kept(port, PACE if size <= 100 else 25.0)
+        client = PersistentConnection(port, REQUEST_RATE if size <= 100 else 25.0)
         url = json.loads(client.ask("/simple/many/"))["files"][0]["url"]
         for _ in range(3 if run.tiny else 25):
             client.ask(url)
         began = processor_s(pid)
-        wrong = sum(client.ask(url) != body for _ in range(many))
+        wrong = sum(client.ask(url) != body for _ in range(count))
         spent = processor_s(pid) - began
         client.close()
     if wrong or Stand.asked - before != 1:
-        asked = Stand.asked - before
-        raise MeasurementError(f"{wrong} of {many} answers are wrong, upstream heard {asked} requests")
-    return {"core_us": spent / many * 1e6, "turned_away": float(client.away)}
+        upstream_requests = Stand.asked - before
+        raise MeasurementError(
+            f"{wrong} of {count} answers are wrong, upstream received {upstream_requests} requests"
+        )
+    return {"core_us": spent / count * 1e6, "turned_away": float(client.rejected)}
 
 
 @measurement(
@@ -139,22 +145,22 @@
     minutes=1.0,
 )  # fmt: skip
 def projects(size: float, run: Run) -> Measured:
-    many = int(size)
+    count = int(size)
     bodies = {}
-    for n in range(many):
-        held = {f"p{n}-1.{k}-py3-none-any.whl": b"%d.%d" % (n, k) for k in range(INDEX_FILES)}
-        bodies[f"p{n}"] = index_of(f"p{n}", held)
+    for n in range(count):
+        wheels = {f"p{n}-1.{k}-py3-none-any.whl": b"%d.%d" % (n, k) for k in range(INDEX_FILES)}
+        bodies[f"p{n}"] = index_of(f"p{n}", wheels)
     text = upstream(bodies)
     with front_process(Path(run.where), text) as (port, pid):
-        client = Kept(port, 500.0)
-        began, short = processor_s(pid), 0
-        for n in range(many):
-            said = json.loads(client.ask(f"/simple/p{n}/"))
-            short += said["name"] != f"p{n}" or len(said["files"]) != INDEX_FILES
+        client = PersistentConnection(port, 500.0)
+        began, wrong = processor_s(pid), 0
+        for n in range(count):
+            index = json.loads(client.ask(f"/simple/p{n}/"))
+            wrong += index["name"] != f"p{n}" or len(index["files"]) != INDEX_FILES
         spent = processor_s(pid) - began
         resident = memory_kb(pid)
         client.close()
-    if short:
-        raise MeasurementError(f"{short} of {many} indexes lack files or are another project's")
-    away = float(client.away)
-    return {"memory_kb": resident, "core_us": spent / many * 1e6, "turned_away": away}
+    if wrong:
+        raise MeasurementError(f"{wrong} of {count} indexes lack files or are another project's")
+    rejected = float(client.rejected)
+    return {"memory_kb": resident, "core_us": spent / count * 1e6, "turned_away": rejected}
--- a/hallproxy/lab/capacity/serving.py
+++ b/hallproxy/lab/capacity/serving.py
@@ -1,7 +1,7 @@
-"""What a request costs a real gateway that asks a store for it and passes its bytes on.
+"""Cost of a request at a real gateway that requests it from a store and forwards its bytes.
 
-A list of four caches, a parent and the origin: what a longer list costs on top is `decisions.members`. Each
-object is asked for once, so none is answered from an own copy. KB are of 1,024 bytes.
+The list has four caches, a parent and the origin; `decisions.members` measures the cost of longer lists. Each
+object is requested once, so none is answered from an own copy. KB are of 1,024 bytes.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 from hallproxy.lab.capacity.registry import Measured, MeasurementError, Quantity, Run, measurement
 
 KB = 1024
-WARM_UP = 200  # requests ahead of those that count: connections, tables, the interpreter's own
+WARM_UP = 200  # requests before the measured ones: they fill connections, tables and the interpreter's caches
 AT_ONCE = 8
 
 
@@ -28,27 +28,27 @@
 )  # fmt: skip
 def body(size: float, run: Run) -> Measured:
     length = int(size * KB)
-    many = 40 if run.tiny else 4_000 if size <= 50 else 2_000
-    first = 10 if run.tiny else WARM_UP
-    rows = [run.random.getrandbits(63) for _ in range(first + many)]
+    count = 40 if run.tiny else 4_000 if size <= 50 else 2_000
+    warm_up = 10 if run.tiny else WARM_UP
+    rows = [run.random.getrandbits(63) for _ in range(warm_up + count)]
 
-    async def ask(port: int, pid: int) -> float:
+    async def measure(port: int, pid: int) -> float:
         client = Client(port, length)
         await client.open()
-        await client.closed_loop(rows[:first], AT_ONCE)
+        await client.closed_loop(rows[:warm_up], AT_ONCE)
         before = process.processor_s(pid)
-        await client.closed_loop(rows[first:], AT_ONCE)
+        await client.closed_loop(rows[warm_up:], AT_ONCE)
         spent = process.processor_s(pid) - before
         client.close()
         client.counted.check(len(rows), length)
         return spent
 
     with process.standins(_page, length) as (standins, page):
-        with process.gateway(run.where, page, standins.log, process.one_zone()) as made:
-            spent = asyncio.run(ask(made.port, made.pid))
+        with process.gateway(run.where, page, standins.log, process.one_zone()) as gateway:
+            spent = asyncio.run(measure(gateway.port, gateway.pid))
         if standins.counts.asked != len(rows):
-            raise MeasurementError(f"the store was asked {standins.counts.asked} of {len(rows)} times")
-    return {"core_us": spent / many * 1e6}
+            raise MeasurementError(f"the store received {standins.counts.asked} of {len(rows)} requests")
+    return {"core_us": spent / count * 1e6}
 
 
 @measurement(
@@ -58,27 +58,29 @@
     quantities=(Quantity("core_percent", "%"), Quantity("core_us", "us", fitted=False)),
 )  # fmt: skip
 def rate(size: float, run: Run) -> Measured:
-    many = int(size * (0.3 if run.tiny else 6))
-    first = 10 if run.tiny else WARM_UP
-    rows = [run.random.getrandbits(63) for _ in range(first + many)]
+    count = int(size * (0.3 if run.tiny else 6))
+    warm_up = 10 if run.tiny else WARM_UP
+    rows = [run.random.getrandbits(63) for _ in range(warm_up + count)]
 
-    async def ask(port: int, pid: int) -> tuple[float, float]:
+    async def measure(port: int, pid: int) -> tuple[float, float]:
         client = Client(port, KB)
         await client.open()
-        await client.closed_loop(rows[:first], 2)
+        await client.closed_loop(rows[:warm_up], 2)
         before = process.processor_s(pid)
-        took = await client.open_loop(rows[first:], size)
+        took = await client.open_loop(rows[warm_up:], size)
         spent = process.processor_s(pid) - before
         client.close()
         client.counted.check(len(rows), KB)
         return spent, took
 
     with process.standins(_page, KB) as (standins, page):
-        with process.gateway(run.where, page, standins.log, process.one_zone()) as made:
-            spent, took = asyncio.run(ask(made.port, made.pid))
+        with process.gateway(run.where, page, standins.log, process.one_zone()) as gateway:
+            spent, took = asyncio.run(measure(gateway.port, gateway.pid))
         if standins.counts.asked != len(rows):
-            raise MeasurementError(f"the store was asked {standins.counts.asked} of {len(rows)} times")
-    # Of the time that the requests' rate allows, so a client that fell behind makes it no smaller.
-    if not run.tiny and took > 1.25 * many / size:
-        raise MeasurementError(f"{many} requests at {size:g}/s took {took:.1f} s: the rate was not kept")
-    return {"core_percent": spent / (many / size) * 100, "core_us": spent / many * 1e6}
+            raise MeasurementError(f"the store received {standins.counts.asked} of {len(rows)} requests")
+    # A share of the time that the rate allows, so that a client that falls behind does not lower it.
+    if not run.tiny and took > 1.25 * count / size:
+        raise MeasurementError(
+            f"{count} requests at {size:g}/s took {took:.1f} s: the client fell behind the rate"
+        )
+    return {"core_percent": spent / (count / size) * 100, "core_us": spent / count * 1e6}
--- a/hallproxy/lab/capacity/starts.py
+++ b/hallproxy/lab/capacity/starts.py
@@ -1,6 +1,6 @@
-"""What a gateway's start costs, with the list of the operators' size in its configuration.
+"""Cost of starting a gateway with a list of the operators' size in its configuration.
 
-Its change log holds one change more than `known`, which the first poll brings: the port opens behind that.
+Its change log has one change more than `known`; the first poll returns it, and the port opens after that.
 """
 
 import time
@@ -8,40 +8,42 @@
 from hallproxy.lab.capacity import fleet, process
 from hallproxy.lab.capacity.registry import Measured, MeasurementError, Quantity, Run, measurement
 
-HEARD_IN = 10.0  # s
+SECOND_POLL_TIMEOUT = 10.0  # s from the open port to a poll that confirms the first page
 
 
-def _started(count: int, members: int, run: Run) -> tuple[list[process.Gateway], float]:
-    """So many gateways at once, all ready, all with the first poll's news; bytes of its answer."""
+def _start_gateways(count: int, members: int, run: Run) -> tuple[list[process.Gateway], float]:
+    """Start gateways at once, wait until all are ready and have polled twice; bytes of the first answer."""
     listed = fleet.lines(members, run.random, address="127.0.0.1:9")
-    drained = next(line for line in listed if line["machineType"] == "std")
-    events = [fleet.whole(listed), fleet.change(drained, lifecycle="Terminating")]
+    drained_cache = next(line for line in listed if line["machineType"] == "std")
+    events = [fleet.whole(listed), fleet.change(drained_cache, lifecycle="Terminating")]
     known = fleet.page(events[:1])
-    made: list[process.Gateway] = []
+    gateways: list[process.Gateway] = []
     with process.standins(lambda _: fleet.page(events)) as (standins, _):
         try:
             for n in range(count):
                 where = run.where / str(n)
                 where.mkdir()
-                made.append(process.Gateway(where, f"n{n}", known, standins.log, fleet.settings_json()))
+                gateways.append(process.Gateway(where, f"n{n}", known, standins.log, fleet.settings_json()))
             end = time.perf_counter() + process.READY_IN
-            while waiting := [one for one in made if not one.port]:
-                for one in waiting:
-                    one.listen(0.002)
+            while waiting := [gateway for gateway in gateways if not gateway.port]:
+                for gateway in waiting:
+                    gateway.listen(0.002)
                 if time.perf_counter() > end:
-                    raise MeasurementError(f"{len(waiting)} of {count} gateways aren't ready")
-            for one in made:
-                one.ready()
-                one.core_s, one.most_kb = one.processor_s(), one.memory_kb("VmHWM")
-            end = time.perf_counter() + HEARD_IN
+                    raise MeasurementError(f"{len(waiting)} of {count} gateways are not listening")
+            for gateway in gateways:
+                gateway.ready()
+                gateway.core_s, gateway.most_kb = gateway.processor_s(), gateway.memory_kb("VmHWM")
+            end = time.perf_counter() + SECOND_POLL_TIMEOUT
             while standins.counts.heard < 2:
                 if time.perf_counter() > end:
-                    raise MeasurementError(f"{HEARD_IN:g} s after it no poll asks from the last change")
+                    raise MeasurementError(
+                        f"{SECOND_POLL_TIMEOUT:g} s after the start no poll has the last change's number"
+                    )
                 time.sleep(0.01)
-            return made, standins.counts.first_poll_bytes
+            return gateways, standins.counts.first_poll_bytes
         finally:
-            for one in made:
-                one.kill()
+            for gateway in gateways:
+                gateway.kill()
 
 
 @measurement(
@@ -53,15 +55,15 @@
     minutes=2.0,
 )  # fmt: skip
 def members(size: float, run: Run) -> Measured:
-    (one,), poll = _started(1, int(size), run)
-    if one.faults():
-        raise MeasurementError(f"the gateway's log tells of faults: {one.faults()[:2]}")
+    (gateway,), poll_bytes = _start_gateways(1, int(size), run)
+    if gateway.faults():
+        raise MeasurementError(f"the gateway logged faults: {gateway.faults()[:2]}")
     return {
-        "ready_ms": one.ready_ms,
-        "core_ms": one.core_s * 1e3,
-        "known_kb": one.known_kb,
-        "poll_kb": poll / 1e3,
-        "peak_mb": one.most_kb / 1e3,
+        "ready_ms": gateway.ready_ms,
+        "core_ms": gateway.core_s * 1e3,
+        "known_kb": gateway.known_kb,
+        "poll_kb": poll_bytes / 1e3,
+        "peak_mb": gateway.most_kb / 1e3,
     }
 
 
@@ -72,11 +74,11 @@
     quantities=(Quantity("slowest_ms", "ms"), Quantity("core_ms", "ms")),
 )  # fmt: skip
 def together(size: float, run: Run) -> Measured:
-    made, _ = _started(int(size), 8 if run.tiny else 1_500, run)
-    faults = [line for one in made for line in one.faults()]
-    if faults or len({one.port for one in made}) != int(size):
-        raise MeasurementError(f"ports {[one.port for one in made]}, faults {faults[:2]}")
+    gateways, _ = _start_gateways(int(size), 8 if run.tiny else 1_500, run)
+    faults = [line for gateway in gateways for line in gateway.faults()]
+    if faults or len({gateway.port for gateway in gateways}) != int(size):
+        raise MeasurementError(f"ports {[gateway.port for gateway in gateways]}, faults {faults[:2]}")
     return {
-        "slowest_ms": max(one.ready_ms for one in made),
-        "core_ms": sum(one.core_s for one in made) / len(made) * 1e3,
+        "slowest_ms": max(gateway.ready_ms for gateway in gateways),
+        "core_ms": sum(gateway.core_s for gateway in gateways) / len(gateways) * 1e3,
     }
--- a/hallproxy/lab/capacity/stores.py
+++ b/hallproxy/lab/capacity/stores.py
@@ -1,7 +1,7 @@
-"""What connections to stores cost a gateway; `cold` has how a cold store's budget holds over many of them.
+"""Cost of connections to stores at a gateway; for the budget of a cold store over many gateways see `cold`.
 
-Gateways send nothing to a store that rests: there is no probe, no keep-alive, and no handshake but TCP's own.
-What a connection costs is its opening, the memory it holds, and a timer now and then.
+Gateways send nothing to an idle store: there is no probe, no keep-alive, and no handshake but TCP's own.
+The cost of a connection is its opening, its memory and occasional timers.
 """
 
 import asyncio
@@ -14,15 +14,15 @@
 from hallproxy.run.limits import RESERVED_DESCRIPTORS
 
 CACHES = 64
-IDLE_FOR = 4.0  # s
-TTL_MS = 4_000  # what a client waits at most
-OPEN_AT_ONCE = 25  # requests on one client's connection; a gateway takes 32
+IDLE_TIME = 4.0  # s
+TTL_MS = 4_000  # the longest that a client waits
+OPEN_PER_CONNECTION = 25  # requests on one client's connection; a gateway accepts 32
 
 
 def sockets_for(links: int) -> int:
-    """The limit of sockets under which a gateway may have just so many connections to stores."""
-    most = 4 * links + 4 * RESERVED_DESCRIPTORS
-    return next(s for s in range(links, most) if s - s * 2 // 5 - RESERVED_DESCRIPTORS == links)
+    """The limit of sockets with which a gateway may have exactly `links` connections to stores."""
+    upper = 4 * links + 4 * RESERVED_DESCRIPTORS
+    return next(s for s in range(links, upper) if s - s * 2 // 5 - RESERVED_DESCRIPTORS == links)
 
 
 @measurement(
@@ -36,55 +36,57 @@
     minutes=1.0,
 )  # fmt: skip
 def connections(size: float, run: Run) -> Measured:
-    many, length = int(size), 1024
-    # As many requests at every size: the module's counts of objects are in the memory too.
-    rounds = 2 if run.tiny else 3_072 // many
+    count, length = int(size), 1024
+    # The same number of requests at every size, since the module's counts of objects take memory too.
+    rounds = 2 if run.tiny else 3_072 // count
 
-    async def ask(made: process.Gateway, counts: Any) -> tuple[float, float]:
-        """What opening one costs (µs), and processor time of a second in which all idle (µs)."""
-        client = Client(made.port, length, -(-many // OPEN_AT_ONCE), TTL_MS)
+    async def measure(gateway: process.Gateway, counts: Any) -> tuple[float, float]:
+        """The cost of opening one (µs), and processor time per second while all are idle (µs)."""
+        client = Client(gateway.port, length, -(-count // OPEN_PER_CONNECTION), TTL_MS)
         await client.open()
-        # Each pair of rounds asks for the same objects twice. The first time many go to stores that have no
-        # idle connection, the second time next to none. The store answers when all are with it.
-        spent, opened, first = [0.0, 0.0], [0, 0], 0
-        for nth in range(rounds):
-            rows = [run.random.getrandbits(63) for _ in range(many)]
+        # Each pair of rounds requests the same objects twice. The first time many requests go to stores that
+        # have no idle connection, the second time almost none. A store answers once all have arrived.
+        spent, opened, initially_opened = [0.0, 0.0], [0, 0], 0
+        for pair in range(rounds):
+            rows = [run.random.getrandbits(63) for _ in range(count)]
             for again in (0, 1):
-                before, accepted = made.processor_s(), counts.accepted
+                before, accepted = gateway.processor_s(), counts.accepted
                 await asyncio.gather(*(client.one(row, n) for n, row in enumerate(rows)))
-                if nth:  # the first pair fills the program's own tables as well
-                    spent[again] += made.processor_s() - before
+                if pair:  # the first pair also fills the program's own tables
+                    spent[again] += gateway.processor_s() - before
                     opened[again] += counts.accepted - accepted
-                first = first or counts.accepted
-        await _settled(counts, many)
+                initially_opened = initially_opened or counts.accepted
+        await _settled(counts, count)
         if not run.tiny:
-            # Timers of requests that were answered stand until those would have run out of time.
+            # Timers of answered requests remain until the requests' time would have expired.
             await asyncio.sleep(TTL_MS / 1e3 + 0.2)
-        before, began = made.processor_s(), time.perf_counter()
-        await asyncio.sleep(0.2 if run.tiny else IDLE_FOR)
-        idle = (made.processor_s() - before) / (time.perf_counter() - began)
-        await _settled(counts, many)
-        client.counted.check(2 * rounds * many, length)
+        before, began = gateway.processor_s(), time.perf_counter()
+        await asyncio.sleep(0.2 if run.tiny else IDLE_TIME)
+        idle = (gateway.processor_s() - before) / (time.perf_counter() - began)
+        await _settled(counts, count)
+        client.counted.check(2 * rounds * count, length)
         client.close()
-        if first != many or not opened[1] < opened[0]:
-            raise MeasurementError(f"{first}, then {opened} connections were opened for {many} at once")
+        if initially_opened != count or not opened[1] < opened[0]:
+            raise MeasurementError(
+                f"{initially_opened}, then {opened} connections were opened for {count} at once"
+            )
         return (spent[0] - spent[1]) / (opened[0] - opened[1]) * 1e6, idle * 1e6
 
     def page(address: str) -> fleet.Json:
         return fleet.page([fleet.whole(process.few(address, CACHES))])
 
-    with process.standins(page, length, many, dated=False) as (standins, told):
-        settings, limit = process.one_zone(), sockets_for(many)
-        with process.gateway(run.where, told, standins.log, settings, limit) as made:
-            opening, idle = asyncio.run(ask(made, standins.counts))
-            resident = made.memory_kb()
-    return {"memory_kb": resident, "core_us": idle, "open_us": opening}
+    with process.standins(page, length, count, dated=False) as (standins, known):
+        settings, limit = process.one_zone(), sockets_for(count)
+        with process.gateway(run.where, known, standins.log, settings, limit) as gateway:
+            open_us, idle_us = asyncio.run(measure(gateway, standins.counts))
+            resident = gateway.memory_kb()
+    return {"memory_kb": resident, "core_us": idle_us, "open_us": open_us}
 
 
-async def _settled(counts: Any, many: int) -> None:
-    """Wait until just so many are open. Raises MeasurementError where that doesn't come about."""
+async def _settled(counts: Any, count: int) -> None:
+    """Wait until exactly `count` connections are open. Raises MeasurementError after 2 s."""
     for _ in range(200):
-        if counts.connections == many:
+        if counts.connections == count:
             return
         await asyncio.sleep(0.01)
-    raise MeasurementError(f"{counts.connections} connections are open where {many} were to be")
+    raise MeasurementError(f"{counts.connections} connections are open instead of {count} after 2 s")
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -293,8 +293,8 @@
 def needs() -> Iterator[Need]:
     for row in ROWS:
         yield from row.figure.needs
-    for one in FAILURES:
-        yield from (*one.until.needs, *one.cost.needs)
+    for failure in FAILURES:
+        yield from (*failure.recovery.needs, *failure.cost.needs)
 
 
 AWAITED = {"configuration.gateways"}
--- a/tests/lab/test_capacity_measures.py
+++ b/tests/lab/test_capacity_measures.py
@@ -68,19 +68,19 @@
 def test_pages_are_numbered_and_a_gap_is_not_applied() -> None:
     listed = fleet.lines(8, random.Random(1))
     gateway = lists.Gateway(1)
-    gateway.hear(json.dumps(fleet.page([fleet.whole(listed)])).encode())
+    gateway.process_page(json.dumps(fleet.page([fleet.whole(listed)])).encode())
     drains = fleet.change(listed[0], lifecycle="Terminating")
     with pytest.raises(ChangeLogError, match="gap"):
-        gateway.hear(json.dumps(fleet.page([drains], 3)).encode())
+        gateway.process_page(json.dumps(fleet.page([drains], 3)).encode())
     assert gateway.ready() == 8
-    gateway.hear(json.dumps(fleet.page([drains, fleet.purge(5, 1)], 3)).encode())
-    assert (gateway.ready(), gateway.heard, list(gateway.state.purges.objects)) == (7, 3, [5])
+    gateway.process_page(json.dumps(fleet.page([drains, fleet.purge(5, 1)], 3)).encode())
+    assert (gateway.ready(), gateway.last_seq, list(gateway.state.purges.objects)) == (7, 3, [5])
 
 
 def test_a_decision_that_gets_no_attempt_is_no_measurement() -> None:
     decider = decisions.Decider(fleet.settings(3), (), 1)
     with pytest.raises(MeasurementError, match="no attempt"):
-        decider.one(1)
+        decider.decide(1)
 
 
 def test_purges_that_are_over_leave_no_floor(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -241,12 +241,12 @@
             made.sendall(answer)
 
     listener = Listener(serve)
-    client = second.Kept(int(listener.address.rpartition(":")[2]))
+    client = second.PersistentConnection(int(listener.address.rpartition(":")[2]))
     if wrong:
         with pytest.raises(MeasurementError, match=wrong):
             client.ask("/")
     else:
-        assert client.ask("/") == b"yes" and client.away == 1
+        assert client.ask("/") == b"yes" and client.rejected == 1
     client.close()
     listener.close()
 
