--- a/hallproxy/lab/capacity/control_rows.py
+++ b/hallproxy/lab/capacity/control_rows.py
@@ -1,99 +1,117 @@
-"""Rows of control: what each gateway spends on it, and each control machine."""
+"""Rows of control traffic: its cost at each gateway and at each control machine."""
 
 from hallproxy.decisions import purges
 from hallproxy.lab.capacity import program
-from hallproxy.lab.capacity.rows import Figure, Mechanism, Need, Row, Slope, Work, Worked, num, told
+from hallproxy.lab.capacity.rows import (
+    Computation,
+    Computed,
+    Figure,
+    Mechanism,
+    Need,
+    Row,
+    Slope,
+    constant,
+    num,
+)
 from hallproxy.lab.capacity.size import SIZE, Size
 from hallproxy.state.purges import MAX_PURGES
 
 
-def purges_single(size: Size, core: Slope) -> Worked:
+def purges_single(size: Size, core: Slope) -> Computed:
     share = core.cores(size.purges)
-    return Worked(share, f"measured at {num(size.purges)} purges/s, an event a page")
+    return Computed(share, f"measured at {num(size.purges)} purges/s, an event a page")
 
 
-def _bytes_single(size: Size, flow: Slope) -> Worked:
-    return Worked(
+def _bytes_single(size: Size, flow: Slope) -> Computed:
+    return Computed(
         flow.at(size.purges), f"measured at {num(size.purges)} purges/s, both ways, an event a page"
     )
 
 
-EVENTS = SIZE.purges * program.GATHER
-"""Events of a page that a relay cuts every `program.GATHER` s."""
+EVENTS_PER_PAGE = SIZE.purges * program.GATHER
+"""Events of a page that a relay publishes every `program.GATHER` s."""
 
 
-def _purges_paged(size: Size, core: Slope) -> Worked:
-    text = f"{num(size.purges)} purges/s in pages of {num(EVENTS)}, what {num(program.GATHER)} s gather"
-    return Worked(core.cores(EVENTS), text)
+def _purges_paged(size: Size, core: Slope) -> Computed:
+    text = (
+        f"{num(size.purges)} purges/s in pages of {num(EVENTS_PER_PAGE)}, what {num(program.GATHER)} s gather"
+    )
+    return Computed(core.cores(EVENTS_PER_PAGE), text)
 
 
-def _bytes_paged(size: Size, flow: Slope) -> Worked:
-    text = f"{num(size.purges)} purges/s in pages of {num(EVENTS)}, plain, both ways"
-    return Worked(flow.at(EVENTS), text)
+def _bytes_paged(size: Size, flow: Slope) -> Computed:
+    text = f"{num(size.purges)} purges/s in pages of {num(EVENTS_PER_PAGE)}, plain, both ways"
+    return Computed(flow.at(EVENTS_PER_PAGE), text)
 
 
-def _bytes_coded(size: Size, coded: Slope) -> Worked:
-    page, pages = coded.at(EVENTS), 1 / program.GATHER
+def _bytes_gzip(size: Size, page_bytes: Slope) -> Computed:
+    page, pages = page_bytes.at(EVENTS_PER_PAGE), 1 / program.GATHER
     text = f"{num(pages)} pages/s × ({num(page)} bytes in gzip + {num(program.POLL)} of a poll), no heads"
-    return Worked(pages * (page + program.POLL), text)
+    return Computed(pages * (page + program.POLL), text)
 
 
-def _relayed(size: Size, of: Slope) -> Worked:
+def _through_relay(size: Size, slope: Slope) -> Computed:
     ms = 1e3 * program.GATHER
-    return Worked(of.at(ms), f"measured at {num(size.purges)} purges/s, gathered for {num(ms)} ms")
+    return Computed(slope.at(ms), f"measured at {num(size.purges)} purges/s, gathered for {num(ms)} ms")
 
 
-def _relayed_core(size: Size, core: Slope) -> Worked:
+def _through_relay_cores(size: Size, core: Slope) -> Computed:
     ms = 1e3 * program.GATHER
-    return Worked(core.cores(ms), f"measured at {num(size.purges)} purges/s, gathered for {num(ms)} ms")
+    return Computed(core.cores(ms), f"measured at {num(size.purges)} purges/s, gathered for {num(ms)} ms")
 
 
-def _tiers(size: Size, delay: Slope) -> Worked:
+def _tiers(size: Size, delay: Slope) -> Computed:
     below = size.control_machines - 1
-    text = f"one relay at the log, {num(below)} below it, of 200 followers each; {num(FEWER)} at the size"
-    return Worked(delay.at(below), text)
+    text = (
+        f"one relay at the log, {num(below)} below it, of 200 followers each; "
+        f"{num(FOLLOWERS_WITHOUT_ONE)} at the size"
+    )
+    return Computed(delay.at(below), text)
 
 
-def _own_copies(size: Size, core: Slope) -> Worked:
-    copies = program.BOUNDS.local_cache_bytes / SMALL
-    text = f"{num(program.BOUNDS.local_cache_bytes / 1e6)} MB ÷ {num(SMALL / 1e3)} KB = {num(copies)} copies"
-    return Worked(core.cores(copies), text)
+def _own_copies(size: Size, core: Slope) -> Computed:
+    copies = program.BOUNDS.local_cache_bytes / SMALL_COPY_BYTES
+    text = (
+        f"{num(program.BOUNDS.local_cache_bytes / 1e6)} MB ÷ {num(SMALL_COPY_BYTES / 1e3)} KB "
+        f"= {num(copies)} copies"
+    )
+    return Computed(core.cores(copies), text)
 
 
-def _list_changes(size: Size, change: Slope) -> Worked:
+def _list_changes(size: Size, change: Slope) -> Computed:
     ms = change.at(size.stores)
     text = (
         f"3 × ({num(size.failed_a_day)} + {num(size.restarted_a_day)}) changes a day, if all were stores, "
         f"÷ 86,400 s × {num(ms)} ms among {num(size.stores)} members"
     )
-    return Worked(size.members_told * ms / 1e3, text)
+    return Computed(size.members_told * ms / 1e3, text)
 
 
-def _zone_changes(size: Size, change: Slope) -> Worked:
+def _zone_changes(size: Size, change: Slope) -> Computed:
     ms = change.at(size.stores)
-    return Worked(size.zone_stores * ms, f"{num(size.zone_stores)} stores of a zone × {num(ms)} ms")
+    return Computed(size.zone_stores * ms, f"{num(size.zone_stores)} stores of a zone × {num(ms)} ms")
 
 
-def _whole_list(size: Size, full: Slope) -> Worked:
-    return Worked(full.at(size.stores), f"measured by members, at {num(size.stores)}")
+def _whole_list(size: Size, full: Slope) -> Computed:
+    return Computed(full.at(size.stores), f"measured by members, at {num(size.stores)}")
 
 
-def _control_core(size: Size, core: Slope, change: Slope) -> Worked:
-    purges, lists = core.cores(EVENTS), _list_changes(size, change).value
+def _control_core(size: Size, core: Slope, change: Slope) -> Computed:
+    purges, lists = core.cores(EVENTS_PER_PAGE), _list_changes(size, change).value
     text = f"{num(100 * purges)}% for purges in pages + {num(100 * lists)}% for the list, no configuration"
-    return Worked(purges + lists, text)
+    return Computed(purges + lists, text)
 
 
-def _memory(size: Size, memory: Slope) -> Worked:
-    return Worked(
+def _memory(size: Size, memory: Slope) -> Computed:
+    return Computed(
         memory.at(size.stores), f"a real gateway's with {num(size.stores)} members, no requests open"
     )
 
 
-SMALL = 4_000
-"""Bytes of an own copy where all are small: the kind that makes a gateway hold most of them."""
-FEWER = SIZE.gateways / (SIZE.control_machines - 1)
-"""Followers of a control machine while one of them is away, or is at the log and has relays alone."""
+SMALL_COPY_BYTES = 4_000
+"""An own copy where all are small, the case in which a gateway holds the most of them."""
+FOLLOWERS_WITHOUT_ONE = SIZE.gateways / (SIZE.control_machines - 1)
+"""Followers of a control machine while one is down, or while one follows the log and serves only relays."""
 
 CHANGE = Need("control.members", "core_ms")
 PAGED = Need("control.page_events", "core_share")
@@ -119,7 +137,7 @@
         "of those, the polls alone",
         Figure(
             "bytes/s",
-            told(SIZE.purges * program.POLL, f"{num(SIZE.purges)} polls/s × {num(program.POLL)} bytes"),
+            constant(SIZE.purges * program.POLL, f"{num(SIZE.purges)} polls/s × {num(program.POLL)} bytes"),
             allowed=SIZE.control_bytes,
         ),
         program.POLLER,
@@ -142,30 +160,28 @@
         "control",
         "messages",
         "purges in pages: bytes a second, gzip",
-        Figure(
-            "bytes/s", _bytes_coded, (Need("control.page_events", "page_bytes_gzip"),), SIZE.control_bytes
-        ),
+        Figure("bytes/s", _bytes_gzip, (Need("control.page_events", "page_bytes_gzip"),), SIZE.control_bytes),
         program.RELAY,
     ),
     Row(
         "control",
         "processor",
         "a gateway that follows a relay: processor time",
-        Figure("cores", _relayed_core, (Need("relay.control", "core_share"),), SIZE.control_core),
+        Figure("cores", _through_relay_cores, (Need("relay.control", "core_share"),), SIZE.control_core),
         program.RELAY,
     ),
     Row(
         "control",
         "messages",
         "a gateway that follows a relay: bytes a second, gzip, both ways",
-        Figure("bytes/s", _relayed, (Need("relay.control", "bytes_per_s"),), SIZE.control_bytes),
+        Figure("bytes/s", _through_relay, (Need("relay.control", "bytes_per_s"),), SIZE.control_bytes),
         program.RELAY,
     ),
     Row(
         "control",
         "memory",
         "a gateway that follows a relay: memory",
-        Figure("MB", _relayed, (Need("relay.control", "memory_mb"),), SIZE.control_mb),
+        Figure("MB", _through_relay, (Need("relay.control", "memory_mb"),), SIZE.control_mb),
         program.RELAY,
     ),
     Row(
@@ -188,7 +204,7 @@
         "the table of purges when it is full",
         Figure(
             "KB",
-            lambda size, of: Worked(of.at(MAX_PURGES), f"{num(MAX_PURGES)} objects"),
+            lambda size, slope: Computed(slope.at(MAX_PURGES), f"{num(MAX_PURGES)} objects"),
             (Need("purges.held", "memory_kb"),),
             1e3 * SIZE.control_mb,
         ),
@@ -200,7 +216,9 @@
         "purges the module holds until each is done everywhere",
         Figure(
             "",
-            told(SIZE.purges * (SIZE.purge_in + 1), f"{num(SIZE.purges)}/s × ({num(SIZE.purge_in)} + 1) s"),
+            constant(
+                SIZE.purges * (SIZE.purge_in + 1), f"{num(SIZE.purges)}/s × ({num(SIZE.purge_in)} + 1) s"
+            ),
             allowed=purges.PURGES_MAX,
         ),
         program.MODULE,
@@ -210,7 +228,8 @@
         "state",
         "the longest that a purge may take to be over by the settings without a floor under everything",
         Figure(
-            "s", told(MAX_PURGES / SIZE.purges, f"{num(MAX_PURGES)} objects ÷ {num(SIZE.purges)} purges/s")
+            "s",
+            constant(MAX_PURGES / SIZE.purges, f"{num(MAX_PURGES)} objects ÷ {num(SIZE.purges)} purges/s"),
         ),
         program.PURGES,
     ),
@@ -218,7 +237,7 @@
         "control",
         "state",
         "time for which a gateway without news still serves own copies",
-        Figure("s", told(program.DEAF_IN, "the program's own bound"), allowed=SIZE.purge_in),
+        Figure("s", constant(program.DEAF_IN, "the program's own bound"), allowed=SIZE.purge_in),
         program.DEAF,
     ),
     Row(
@@ -267,7 +286,7 @@
         "control",
         "messages",
         "changes of configuration a second",
-        Figure("/s", told(SIZE.changes, f"{num(SIZE.changes_a_day)} a day ÷ 86,400 s")),
+        Figure("/s", constant(SIZE.changes, f"{num(SIZE.changes_a_day)} a day ÷ 86,400 s")),
         program.CONFIGURATION,
     ),
     Row(
@@ -276,7 +295,7 @@
         "bytes that one change may have, if configuration has a tenth of what control may send",
         Figure(
             "KB",
-            told(
+            constant(
                 SIZE.control_bytes / 10 / SIZE.changes / 1e3,
                 f"{num(SIZE.control_bytes)} bytes/s ÷ 10 ÷ {num(SIZE.changes)}/s",
             ),
@@ -289,7 +308,7 @@
         "time from a change of configuration to its being in force everywhere",
         Figure(
             "s",
-            lambda size, delay: Worked(delay.at(size.gateways), f"{num(size.gateways)} gateways"),
+            lambda size, delay: Computed(delay.at(size.gateways), f"{num(size.gateways)} gateways"),
             (Need("configuration.gateways", "in_force_s"),),
             SIZE.change_in,
         ),
@@ -299,43 +318,46 @@
         "control",
         "messages",
         "bytes a second of reports to one place, were each gateway to send 1 KB every 10 s",
-        Figure("KB/s", told(SIZE.gateways / 10, f"{num(SIZE.gateways)} gateways × 1 KB ÷ 10 s")),
+        Figure("KB/s", constant(SIZE.gateways / 10, f"{num(SIZE.gateways)} gateways × 1 KB ÷ 10 s")),
         program.REPORTS,
     ),
 )
 
 
-def _machine(quantity: str, text: str) -> Work:
-    def work(size: Size, of: Slope) -> Worked:
-        value = of.cores(size.followers) if quantity == "cores" else of.at(size.followers)
-        return Worked(value, f"{num(size.followers)} followers, {num(size.purges)} purges/s, {text}")
+def _per_machine(quantity: str, text: str) -> Computation:
+    def computation(size: Size, slope: Slope) -> Computed:
+        value = slope.cores(size.followers) if quantity == "cores" else slope.at(size.followers)
+        return Computed(value, f"{num(size.followers)} followers, {num(size.purges)} purges/s, {text}")
 
-    return work
+    return computation
 
 
-def _one_fewer(size: Size, core: Slope) -> Worked:
-    text = f"{num(size.gateways)} ÷ {num(size.control_machines - 1)} = {num(FEWER)} followers, in pages"
-    return Worked(core.cores(FEWER), text)
+def _one_fewer(size: Size, core: Slope) -> Computed:
+    text = (
+        f"{num(size.gateways)} ÷ {num(size.control_machines - 1)} = {num(FOLLOWERS_WITHOUT_ONE)} "
+        "followers, in pages"
+    )
+    return Computed(core.cores(FOLLOWERS_WITHOUT_ONE), text)
 
 
-def _top(size: Size, core: Slope) -> Worked:
+def _top_relay(size: Size, core: Slope) -> Computed:
     below = size.control_machines - 1
-    return Worked(core.cores(below), f"{num(below)} relays below it, {num(size.purges)} purges/s")
+    return Computed(core.cores(below), f"{num(below)} relays below it, {num(size.purges)} purges/s")
 
 
-def _connects(size: Size, connects: Slope) -> Worked:
+def _connects(size: Size, connects: Slope) -> Computed:
     below = size.control_machines - 1
-    return Worked(
+    return Computed(
         connects.at(below), f"{num(below)} relays with 400 followers in all; {num(size.gateways)} at the size"
     )
 
 
-def _out(size: Size, coded: Slope) -> Worked:
-    page = coded.at(EVENTS)
+def _sent(size: Size, page_bytes: Slope) -> Computed:
+    page = page_bytes.at(EVENTS_PER_PAGE)
     text = (
         f"{num(size.followers)} followers × {num(1 / program.GATHER)} pages/s × {num(page)} bytes in gzip × 8"
     )
-    return Worked(size.followers / program.GATHER * page * 8 / 1e6, text)
+    return Computed(size.followers / program.GATHER * page * 8 / 1e6, text)
 
 
 MACHINE = (
@@ -343,7 +365,7 @@
         "machine",
         "state",
         "followers of each",
-        Figure("", told(SIZE.followers, f"{num(SIZE.gateways)} ÷ {num(SIZE.control_machines)}")),
+        Figure("", constant(SIZE.followers, f"{num(SIZE.gateways)} ÷ {num(SIZE.control_machines)}")),
         program.RELAY,
     ),
     Row(
@@ -352,12 +374,12 @@
         "regions with a control machine of their own",
         Figure(
             "",
-            told(
+            constant(
                 SIZE.control_machines,
                 f"{num(SIZE.control_machines)} machines, " f"{num(SIZE.regions)} regions",
             ),
             allowed=SIZE.regions,
-            least=True,
+            minimum=True,
         ),
         Mechanism("a control machine in each region, that goes on when the region is cut off"),
     ),
@@ -367,7 +389,7 @@
         "polls a second, one event a page",
         Figure(
             "/s",
-            told(SIZE.followers * SIZE.purges, f"{num(SIZE.followers)} followers × {num(SIZE.purges)}/s"),
+            constant(SIZE.followers * SIZE.purges, f"{num(SIZE.followers)} followers × {num(SIZE.purges)}/s"),
         ),
         program.POLLER,
     ),
@@ -375,7 +397,9 @@
         "machine",
         "processor",
         "a log that tells one by one: processor time",
-        Figure("cores", _machine("cores", "an event a page"), (Need("logs.followers", "core_share"),), 1.0),
+        Figure(
+            "cores", _per_machine("cores", "an event a page"), (Need("logs.followers", "core_share"),), 1.0
+        ),
         program.POLLER,
     ),
     Row(
@@ -384,7 +408,7 @@
         "polls a second that a log which tells one by one answered; 95 in 100 of those needed",
         Figure(
             "/s",
-            _machine("/s", "an event a page, if it keeps up"),
+            _per_machine("/s", "an event a page, if it keeps up"),
             (Need("logs.followers", "polls_per_s"),),
             0.95 * SIZE.followers * SIZE.purges,
             True,
@@ -397,7 +421,7 @@
         "a log that tells one by one: the longest from a purge to its last follower",
         Figure(
             "ms",
-            _machine("ms", "an event a page, if it keeps up"),
+            _per_machine("ms", "an event a page, if it keeps up"),
             (Need("logs.followers", "delay_p100_ms"),),
             1e3 * SIZE.purge_in,
         ),
@@ -407,35 +431,37 @@
         "machine",
         "memory",
         "a log that tells one by one: memory",
-        Figure("MB", _machine("MB", "an event a page"), (Need("logs.followers", "memory_mb"),)),
+        Figure("MB", _per_machine("MB", "an event a page"), (Need("logs.followers", "memory_mb"),)),
         program.POLLER,
     ),
     Row(
         "machine",
         "processor",
         "a log that tells in pages: processor time",
-        Figure("cores", _machine("cores", "in pages"), (Need("logs.pages", "core_share"),), 1.0),
+        Figure("cores", _per_machine("cores", "in pages"), (Need("logs.pages", "core_share"),), 1.0),
         program.RELAY,
     ),
     Row(
         "machine",
         "time",
         "a log that tells in pages: the longest from a purge to its last follower",
-        Figure("ms", _machine("ms", "in pages"), (Need("logs.pages", "delay_p100_ms"),), 1e3 * SIZE.purge_in),
+        Figure(
+            "ms", _per_machine("ms", "in pages"), (Need("logs.pages", "delay_p100_ms"),), 1e3 * SIZE.purge_in
+        ),
         program.RELAY,
     ),
     Row(
         "machine",
         "processor",
         "a relay: processor time",
-        Figure("cores", _machine("cores", "in pages"), (Need("relay.followers", "core_share"),), 1.0),
+        Figure("cores", _per_machine("cores", "in pages"), (Need("relay.followers", "core_share"),), 1.0),
         program.RELAY,
     ),
     Row(
         "machine",
         "memory",
         "a relay: memory",
-        Figure("MB", _machine("MB", "in pages"), (Need("relay.followers", "memory_mb"),)),
+        Figure("MB", _per_machine("MB", "in pages"), (Need("relay.followers", "memory_mb"),)),
         program.RELAY,
     ),
     Row(
@@ -443,7 +469,10 @@
         "time",
         "a relay: the longest from a purge to its last follower",
         Figure(
-            "ms", _machine("ms", "in pages"), (Need("relay.followers", "delay_p100_ms"),), 1e3 * SIZE.purge_in
+            "ms",
+            _per_machine("ms", "in pages"),
+            (Need("relay.followers", "delay_p100_ms"),),
+            1e3 * SIZE.purge_in,
         ),
         program.RELAY,
     ),
@@ -458,7 +487,7 @@
         "machine",
         "processor",
         "the relay at the log, with relays alone below it: processor time",
-        Figure("cores", _top, (Need("relay.tiers", "core_share_top"),), 1.0),
+        Figure("cores", _top_relay, (Need("relay.tiers", "core_share_top"),), 1.0),
         program.RELAY,
     ),
     Row(
@@ -472,7 +501,7 @@
         "machine",
         "messages",
         "sent by a relay",
-        Figure("Mbit/s", _out, (Need("control.page_events", "page_bytes_gzip"),)),
+        Figure("Mbit/s", _sent, (Need("control.page_events", "page_bytes_gzip"),)),
         program.RELAY,
     ),
     Row(
@@ -481,7 +510,7 @@
         "confirmed numbers heard a second, in pages",
         Figure(
             "/s",
-            told(
+            constant(
                 SIZE.followers / program.GATHER, f"{num(SIZE.followers)} followers ÷ {num(program.GATHER)} s"
             ),
         ),
@@ -491,7 +520,9 @@
         "machine",
         "messages",
         "answers a second for changes of configuration",
-        Figure("/s", told(SIZE.followers * SIZE.changes, f"{num(SIZE.followers)} × {num(SIZE.changes)}/s")),
+        Figure(
+            "/s", constant(SIZE.followers * SIZE.changes, f"{num(SIZE.followers)} × {num(SIZE.changes)}/s")
+        ),
         program.CONFIGURATION,
     ),
 )
--- a/hallproxy/lab/capacity/failures.py
+++ b/hallproxy/lab/capacity/failures.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from hallproxy.lab.capacity import program
-from hallproxy.lab.capacity.gateway_rows import READY, STARTED, TOGETHER
-from hallproxy.lab.capacity.rows import Figure, Mechanism, Need, Slope, Slopes, Worked, amount, num, sources
+from hallproxy.lab.capacity.gateway_rows import READY, SITE_START, START_BYTES
+from hallproxy.lab.capacity.rows import Computed, Figure, Mechanism, Need, Slope, Slopes, amount, num, sources
 from hallproxy.lab.capacity.size import SIZE, Size
 from hallproxy.run import change_log_poller, shutdown
 
@@ -37,73 +37,73 @@
     """A store's objects requested again, each once, at its rate of requests."""
     rate = SIZE.requests / SIZE.stores
     text = f"{num(objects)} objects asked for again at {num(rate)} requests/s, at the very least"
-    return Figure("min", lambda size: Worked(objects / rate / 60, text))
+    return Figure("min", lambda size: Computed(objects / rate / 60, text))
 
 
 def _refilled(stores: float) -> Figure:
     objects = SIZE.objects / SIZE.stores
     text = f"{num(stores)} × {num(objects)} objects × {num(SIZE.body_kb)} KB"
-    return Figure("TB", lambda size: Worked(stores * objects * SIZE.body_kb / 1e9, text))
+    return Figure("TB", lambda size: Computed(stores * objects * SIZE.body_kb / 1e9, text))
 
 
 def _list_changes(stores: float) -> Figure:
-    def work(size: Size, change: Slope) -> Worked:
+    def computation(size: Size, change: Slope) -> Computed:
         ms = change.at(size.stores)
-        return Worked(3 * stores * ms, f"3 × {num(stores)} changes of the list × {num(ms)} ms")
+        return Computed(3 * stores * ms, f"3 × {num(stores)} changes of the list × {num(ms)} ms")
 
-    return Figure("ms of each gateway's loop", work, (Need("control.members", "core_ms"),))
+    return Figure("ms of each gateway's loop", computation, (Need("control.members", "core_ms"),))
 
 
-def _ready(size: Size, ready: Slope) -> Worked:
+def _ready(size: Size, ready: Slope) -> Computed:
     ms = ready.at(size.stores)
-    return Worked(ms / 1e3, f"{num(ms)} ms from start to listening, {num(size.stores)} members")
+    return Computed(ms / 1e3, f"{num(ms)} ms from start to listening, {num(size.stores)} members")
 
 
-def _start_kb(size: Size, known: Slope, poll: Slope) -> Worked:
+def _start_bytes(size: Size, known: Slope, poll: Slope) -> Computed:
     kb = known.at(size.stores), poll.at(size.stores)
-    return Worked(sum(kb), f"{num(kb[0])} KB that its configuration knows + {num(kb[1])} KB of a poll")
+    return Computed(sum(kb), f"{num(kb[0])} KB that its configuration knows + {num(kb[1])} KB of a poll")
 
 
-def _site_mb(size: Size, known: Slope, poll: Slope) -> Worked:
+def _site_mb(size: Size, known: Slope, poll: Slope) -> Computed:
     kb = known.at(size.stores) + poll.at(size.stores)
-    return Worked(size.site * kb / 1e3, f"{num(size.site)} gateways × {num(kb)} KB")
+    return Computed(size.site * kb / 1e3, f"{num(size.site)} gateways × {num(kb)} KB")
 
 
-def _together(size: Size, slowest: Slope) -> Worked:
+def _site_start(size: Size, slowest: Slope) -> Computed:
     ms = slowest.at(size.site)
-    return Worked(ms / 1e3, f"{num(size.site)} gateways start on the cores of one machine")
+    return Computed(ms / 1e3, f"{num(size.site)} gateways start on the cores of one machine")
 
 
-def _missed_events(size: Size) -> Worked:
+def _missed_events(size: Size) -> Computed:
     events = size.purges * size.cut
     seconds = events * EVENT_BYTES / size.control_bytes
     text = (
         f"{num(size.purges)}/s × {num(size.cut)} s = {num(events)} events × {num(EVENT_BYTES)} bytes "
         f"÷ {num(size.control_bytes)} bytes/s"
     )
-    return Worked(seconds, text)
+    return Computed(seconds, text)
 
 
-def _whole_page(size: Size, listed: Slope) -> Worked:
+def _whole_page(size: Size, listed: Slope) -> Computed:
     each = (listed.at(size.stores) + GROUPS * EVENT_BYTES) / size.control_bytes
     text = (
         f"({num(listed.at(size.stores))} bytes of the list + {num(GROUPS)} groups × "
         f"{num(EVENT_BYTES)} bytes) "
         f"÷ {num(size.control_bytes)} bytes/s"
     )
-    return Worked(each, text)
+    return Computed(each, text)
 
 
-def _whole_pages(size: Size, listed: Slope) -> Worked:
+def _whole_pages(size: Size, listed: Slope) -> Computed:
     each = (listed.at(size.stores) + GROUPS * EVENT_BYTES) / 1e6
     text = f"{num(size.region_gateways)} gateways × {num(each)} MB, plain"
-    return Worked(size.region_gateways * each, text)
+    return Computed(size.region_gateways * each, text)
 
 
-def _moved_followers(size: Size) -> Worked:
+def _moved_followers(size: Size) -> Computed:
     followers = size.followers
     text = f"{num(followers)} followers connect anew to {num(size.control_machines - 1)} machines"
-    return Worked(followers / (size.control_machines - 1), text)
+    return Computed(followers / (size.control_machines - 1), text)
 
 
 LISTED = Need("control.members", "bytes_whole")
@@ -126,7 +126,7 @@
         f"{num(SIZE.asked)} requests/s until clients ask another; nothing that is kept elsewhere too",
         "by clients and the front ahead of it; nothing here tells that a gateway is gone",
         Figure("s", _ready, (READY,)),
-        Figure("KB", _start_kb, STARTED),
+        Figure("KB", _start_bytes, START_BYTES),
         "what a start asks for",
         program.START,
     ),
@@ -137,7 +137,7 @@
         "told ahead: clients by go-away, the front by readiness",
         Figure(
             "s",
-            lambda size, ready: Worked(
+            lambda size, ready: Computed(
                 shutdown.MAX_LATE_REQUEST_WAIT + ready.at(size.stores) / 1e3,
                 f"{num(shutdown.MAX_LATE_REQUEST_WAIT)} s at most to drain"
                 f" + {num(ready.at(size.stores))} ms to listen",
@@ -146,7 +146,7 @@
         ),
         Figure(
             "s of a core a day",
-            lambda size, core: Worked(
+            lambda size, core: Computed(
                 size.restarted_a_day * core.at(size.stores) / 1e3,
                 f"{num(size.restarted_a_day)} × {num(core.at(size.stores))} ms",
             ),
@@ -182,10 +182,10 @@
         f"at most {num(SIZE.zones_a_year)} a year",
         "nothing further while they carry it",
         "by their own clients' requests",
-        Figure("", lambda size: Worked(float("nan"), "until the zone is back; not worked out")),
+        Figure("", lambda size: Computed(float("nan"), "until the zone is back; not worked out")),
         Figure(
             "requests/s at each gateway",
-            lambda size: Worked(
+            lambda size: Computed(
                 size.requests / size.zones / (2 * size.zone_gateways),
                 f"{num(size.requests / size.zones)}/s ÷ 2 zones of {num(size.zone_gateways)} gateways, "
                 f"over the {num(size.asked)}/s they have",
@@ -202,12 +202,12 @@
         f"by each gateway: a poll fails after {num(POLL_FAILURE_TIME)} s",
         Figure(
             "s",
-            lambda size: Worked(program.DEAF_IN, "own copies rest so long after the last news"),
+            lambda size: Computed(program.DEAF_IN, "own copies rest so long after the last news"),
             allowed=SIZE.purge_in,
         ),
         Figure(
             "requests/s to stores more",
-            lambda size: Worked(
+            lambda size: Computed(
                 size.asked * size.region_gateways,
                 f"{num(size.asked)}/s × {num(size.region_gateways)} gateways, at most",
             ),
@@ -223,7 +223,7 @@
         Figure("s", _missed_events, allowed=SIZE.purge_in),
         Figure(
             "GB",
-            lambda size: Worked(
+            lambda size: Computed(
                 size.region_gateways * size.purges * size.cut * EVENT_BYTES / 1e9,
                 f"{num(size.region_gateways)} gateways × {num(size.purges * size.cut)} × "
                 f"{num(EVENT_BYTES)} bytes",
@@ -249,7 +249,7 @@
         f"at once where the connection is reset; else a poll fails after {num(POLL_FAILURE_TIME)} s",
         Figure(
             "ms",
-            lambda size, delay: Worked(
+            lambda size, delay: Computed(
                 delay.at(size.control_machines - 1),
                 f"a purge to its last follower; {num(size.control_machines - 1)} relays with 400 followers, "
                 f"{num(size.gateways)} at the size",
@@ -268,9 +268,9 @@
         f"by each follower: a poll fails after {num(POLL_FAILURE_TIME)} s",
         Figure(
             "s",
-            lambda size: Worked(program.DEAF_IN, "own copies rest; news come when the log is back"),
+            lambda size: Computed(program.DEAF_IN, "own copies rest; news come when the log is back"),
         ),
-        Figure("requests/s to stores more", lambda size: Worked(size.requests, "all requests, at most")),
+        Figure("requests/s to stores more", lambda size: Computed(size.requests, "all requests, at most")),
         "own copies that rest",
         Mechanism("a second log with the same numbers"),
     ),
@@ -279,8 +279,8 @@
         "not told",
         f"{num(SIZE.site)} gateways with {num(SIZE.site * SIZE.asked)} requests/s",
         "by clients and the front ahead of them",
-        Figure("s", _together, (TOGETHER,)),
-        Figure("MB", _site_mb, STARTED),
+        Figure("s", _site_start, (SITE_START,)),
+        Figure("MB", _site_mb, START_BYTES),
         "starts",
         program.START,
     ),
@@ -289,10 +289,10 @@
         "not told",
         "own copies and what each believed of the stores",
         "by the stores: connections anew, from empty",
-        Figure("s", _together, (TOGETHER,)),
+        Figure("s", _site_start, (SITE_START,)),
         Figure(
             "connections opened",
-            lambda size: Worked(
+            lambda size: Computed(
                 size.site * program.BOUNDS.connections,
                 f"{num(size.site)} × {num(program.BOUNDS.connections)} at most",
             ),
@@ -305,9 +305,9 @@
         f"{num(SIZE.changes_a_day)} changes a day, not told how many are wrong",
         "whatever it breaks, everywhere within seconds",
         "a file that can't be used changes nothing and is a line in each gateway's own log",
-        Figure("s", lambda size, of: Worked(of.at(size.gateways), f"{num(size.gateways)} gateways"),
+        Figure("s", lambda size, of: Computed(of.at(size.gateways), f"{num(size.gateways)} gateways"),
                (Need("configuration.gateways", "in_force_s"),), SIZE.change_in),
-        Figure("", lambda size: Worked(float("nan"), "not worked out")),
+        Figure("", lambda size: Computed(float("nan"), "not worked out")),
         "taking it back",
         Mechanism("a change tried at few gateways first, and taken back by itself"),
     ),
@@ -316,9 +316,9 @@
 
 def failure_line(failure: Failure, size: Size, slopes: Slopes) -> list[str]:
     """The cells of a failure's line; the verdict is that of its recovery time."""
-    recovery, recovery_slopes = failure.recovery.worked(size, slopes)
-    cost, cost_slopes = failure.cost.worked(size, slopes)
-    verdict = failure.recovery.verdict(recovery.value) if failure.mechanism.there else "**missing**"
+    recovery, recovery_slopes = failure.recovery.compute(size, slopes)
+    cost, cost_slopes = failure.cost.compute(size, slopes)
+    verdict = failure.recovery.verdict(recovery.value) if failure.mechanism.exists else "**missing**"
     return [
         failure.name,
         failure.frequency,
@@ -333,6 +333,6 @@
     ]
 
 
-def _result(worked: Worked, figure: Figure) -> str:
-    result = "not measured" if worked.value != worked.value else amount(worked.value, figure.unit)
-    return f"{worked.text} = {result}" if worked.text else result
+def _result(computed: Computed, figure: Figure) -> str:
+    result = "not measured" if computed.value != computed.value else amount(computed.value, figure.unit)
+    return f"{computed.text} = {result}" if computed.text else result
--- a/hallproxy/lab/capacity/fits.py
+++ b/hallproxy/lab/capacity/fits.py
@@ -1,4 +1,4 @@
-"""The line through a measurement's sizes, and how far from it they lie."""
+"""Least-squares line through a measurement's sizes, and how far they deviate from it."""
 
 import math
 from collections.abc import Iterable, Sequence
@@ -11,21 +11,21 @@
 from hallproxy.lab.capacity.registry import LEAST_SIZES
 from hallproxy.lab.capacity.results import Result
 
-STRAIGHT_RESIDUAL = 0.05  # relative residual up to which a line is called straight, ...
-STRAIGHT_DEVIATION = 0.15  # ...if no size lies further from it than this share of its own figure
+STRAIGHT_RESIDUAL = 0.05  # maximum relative residual of a straight line
+STRAIGHT_DEVIATION = 0.15  # maximum deviation of a size from a straight line, as a share of its own figure
 NOISE = 1e-9
-"""Parts of the mean of y under which a figure is what the arithmetic itself leaves; it differs by machine."""
-FLAT = 0.05  # change over all sizes, as a share of the mean, under which nothing grows
-PROPORTION = 0.1  # how far a power may lie from 1 and still be called in proportion
+"""Share of the mean of y below which a figure is a rounding error, which differs between machines."""
+FLAT_CHANGE = 0.05  # maximum change over all sizes of a flat line, as a share of the mean
+POWER_TOLERANCE = 0.1  # maximum distance from 1 of a power that counts as in proportion
 
 
 class FitError(ValueError):
-    """Too few sizes for a line; the text says how many there are."""
+    """Too few sizes for a line; the message has their number."""
 
 
 @dataclass(frozen=True)
 class Point:
-    """One size: the median over its repeats, the least and the most of them, and how many there were."""
+    """One size: the median, minimum and maximum of its repeats, and their number."""
 
     x: float
     y: float
@@ -36,16 +36,16 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """y = `at_zero` + `slope` · x by least squares.
+    """y = `intercept` + `slope` · x by least squares.
 
-    `residual`: the root of its mean square over the mean of y;
-    `deviation`: the largest |y - line| / |y| (infinite where a y of 0 is missed); `power`: p of y ~ x^p, None
-    where a y of an x over 0 is not; `spread`: that of the points.
+    `residual`: the root mean square of the residuals over the mean of y;
+    `deviation`: the largest |y - line| / |y| (infinite where the line misses a y of 0);
+    `power`: p of y ~ x^p, None unless y is positive wherever x is; `spread`: that of the points.
     """
 
     points: tuple[Point, ...]
     slope: float
-    at_zero: float
+    intercept: float
     residual: float
     deviation: float
     power: float | None
@@ -57,16 +57,16 @@
 
     @property
     def shape(self) -> str:
-        """In words; what is neither straight nor flat shows by its power, if it has one."""
+        """In words; if neither straight nor flat, by its power, if it has one."""
         first, last = self.points[0].x, self.points[-1].x
         mean = sum(abs(p.y) for p in self.points) / len(self.points)
         if self.straight:
-            return "flat" if abs(self.slope) * (last - first) <= FLAT * mean else "straight"
+            return "flat" if abs(self.slope) * (last - first) <= FLAT_CHANGE * mean else "straight"
         if self.power is None:
             return "not straight"
-        if self.power > 1 + PROPORTION:
+        if self.power > 1 + POWER_TOLERANCE:
             return f"worse than in proportion, power {self.power:.2f}"
-        if self.power < 1 - PROPORTION:
+        if self.power < 1 - POWER_TOLERANCE:
             return f"less than in proportion, power {self.power:.2f}"
         return f"scattered, power {self.power:.2f}"
 
@@ -76,10 +76,10 @@
 
     def at(self, x: float) -> float:
         """y on the line at x."""
-        return self.at_zero + self.slope * x
+        return self.intercept + self.slope * x
 
-    def near(self, x: float) -> float:
-        """y about x where a line would mislead: on the chord between two sizes, outside them by the power."""
+    def estimate(self, x: float) -> float:
+        """y at x without the line: interpolated between two sizes, outside them extrapolated by the power."""
         for left, right in zip(self.points, self.points[1:], strict=False):
             if left.x <= x <= right.x:
                 return left.y + (right.y - left.y) * (x - left.x) / (right.x - left.x)
@@ -90,7 +90,7 @@
 
 
 def points(results: Iterable[Result], quantity: str) -> tuple[Point, ...]:
-    """In order of size; sizes that failed or were not measured are left out."""
+    """Points in order of size; failed and unmeasured sizes are omitted."""
     by_size: dict[float, list[float]] = {}
     for result in results:
         value = result.values.get(quantity)
@@ -99,31 +99,31 @@
     return tuple(Point(x, median(ys), min(ys), max(ys), len(ys)) for x, ys in sorted(by_size.items()))
 
 
-def spread(of: Iterable[Point]) -> float:
-    """The largest (most - least) / median of a size's repeats."""
-    return max(((p.high - p.low) / abs(p.y) if p.y else 0.0 for p in of), default=0.0)
+def spread(samples: Iterable[Point]) -> float:
+    """The largest (maximum - minimum) / median of a size's repeats."""
+    return max(((p.high - p.low) / abs(p.y) if p.y else 0.0 for p in samples), default=0.0)
 
 
-def fit(of: Sequence[Point]) -> Fit:
-    """Raises FitError under four sizes."""
-    if len(of) < LEAST_SIZES:
-        raise FitError(f"{len(of)} sizes of at least {LEAST_SIZES}")
-    x = np.array([p.x for p in of])
-    y = np.array([p.y for p in of])
+def fit(samples: Sequence[Point]) -> Fit:
+    """Raises FitError for fewer than four sizes."""
+    if len(samples) < LEAST_SIZES:
+        raise FitError(f"{len(samples)} sizes of at least {LEAST_SIZES}")
+    x = np.array([p.x for p in samples])
+    y = np.array([p.y for p in samples])
     mean = float(np.mean(np.abs(y)))
-    slope, at_zero = _line(x, y)
+    slope, intercept = _line(x, y)
     slope = 0.0 if abs(slope) * float(x[-1]) <= NOISE * mean else slope
-    at_zero = 0.0 if abs(at_zero) <= NOISE * mean else at_zero
-    off = y - (at_zero + slope * x)
-    off[np.abs(off) <= NOISE * mean] = 0.0
-    residual = float(np.sqrt(np.mean(off**2))) / mean if mean else 0.0
-    missed = [(abs(float(o)), abs(float(v))) for o, v in zip(off, y, strict=True) if o]
-    deviation = max((o / v if v else math.inf for o, v in missed), default=0.0)
-    over = x > 0  # what nothing costs says nothing of a power
-    power = _line(np.log(x[over]), np.log(y[over]))[0] if (y[over] > 0).all() else None
-    return Fit(tuple(of), slope, at_zero, residual, deviation, power, spread(of))
+    intercept = 0.0 if abs(intercept) <= NOISE * mean else intercept
+    residuals = y - (intercept + slope * x)
+    residuals[np.abs(residuals) <= NOISE * mean] = 0.0
+    residual = float(np.sqrt(np.mean(residuals**2))) / mean if mean else 0.0
+    misses = [(abs(float(r)), abs(float(v))) for r, v in zip(residuals, y, strict=True) if r]
+    deviation = max((r / v if v else math.inf for r, v in misses), default=0.0)
+    positive = x > 0  # the figure at size 0 says nothing about a power
+    power = _line(np.log(x[positive]), np.log(y[positive]))[0] if (y[positive] > 0).all() else None
+    return Fit(tuple(samples), slope, intercept, residual, deviation, power, spread(samples))
 
 
 def _line(x: NDArray[np.float64], y: NDArray[np.float64]) -> tuple[float, float]:
-    (slope, at_zero), *_ = np.linalg.lstsq(np.column_stack([x, np.ones_like(x)]), y, rcond=None)
-    return float(slope), float(at_zero)
+    (slope, intercept), *_ = np.linalg.lstsq(np.column_stack([x, np.ones_like(x)]), y, rcond=None)
+    return float(slope), float(intercept)
--- a/hallproxy/lab/capacity/gateway_rows.py
+++ b/hallproxy/lab/capacity/gateway_rows.py
@@ -3,44 +3,44 @@
 from hallproxy.decisions.valuation import COUNT_HALVING_INTERVAL, COUNTS_MAX
 from hallproxy.lab.capacity import program
 from hallproxy.lab.capacity.control_rows import purges_single
-from hallproxy.lab.capacity.rows import Figure, Mechanism, Need, Row, Slope, Worked, num, told
+from hallproxy.lab.capacity.rows import Computed, Figure, Mechanism, Need, Row, Slope, constant, num
 from hallproxy.lab.capacity.size import SIZE, Size
 from hallproxy.repository.front import MAX_RENDERED_INDEX_BYTES
 from hallproxy.run import change_log_poller, shutdown
 from hallproxy.wire.frames import MAX_FRAME_BYTES
 
 
-def _decisions(size: Size, decision: Slope) -> Worked:
+def _decisions(size: Size, decision: Slope) -> Computed:
     us = decision.at(size.stores)
     text = f"{num(program.PARTS)} parts/s × {num(us)} µs among {num(size.stores)} members"
-    return Worked(program.PARTS * us / 1e6, text)
+    return Computed(program.PARTS * us / 1e6, text)
 
 
-def _bodies(size: Size, body: Slope) -> Worked:
+def _bodies(size: Size, body: Slope) -> Computed:
     us = body.at(program.PART_KB)
-    return Worked(
+    return Computed(
         program.PARTS * us / 1e6, f"{num(program.PARTS)} parts/s × {num(us)} µs for {num(program.PART_KB)} KB"
     )
 
 
-def _core_bytes(size: Size, body: Slope) -> Worked:
+def _bytes_per_core(size: Size, body: Slope) -> Computed:
     us = body.at(program.PART_KB)
-    return Worked(program.PART_KB * 1e3 / us, f"{num(program.PART_KB)} KB ÷ {num(us)} µs of a core")
+    return Computed(program.PART_KB * 1e3 / us, f"{num(program.PART_KB)} KB ÷ {num(us)} µs of a core")
 
 
-def _rate(size: Size, core: Slope) -> Worked:
-    return Worked(core.cores(size.asked), f"measured by rate, at {num(size.asked)}/s")
+def _cores_by_rate(size: Size, core: Slope) -> Computed:
+    return Computed(core.cores(size.asked), f"measured by rate, at {num(size.asked)}/s")
 
 
-def _serving(size: Size, decision: Slope, body: Slope) -> Worked:
+def _serving(size: Size, decision: Slope, body: Slope) -> Computed:
     each = decision.at(size.stores), body.at(program.PART_KB)
     text = f"{num(program.PARTS)} parts/s × ({num(each[0])} + {num(each[1])}) µs, each a core's"
-    return Worked(program.PARTS * sum(each) / 1e6, text)
+    return Computed(program.PARTS * sum(each) / 1e6, text)
 
 
-def _fleet_cores(size: Size, decision: Slope, body: Slope) -> Worked:
+def _fleet_cores(size: Size, decision: Slope, body: Slope) -> Computed:
     cores = _serving(size, decision, body).value
-    return Worked(size.gateways * cores, f"{num(size.gateways)} gateways × {num(cores)} cores")
+    return Computed(size.gateways * cores, f"{num(size.gateways)} gateways × {num(cores)} cores")
 
 
 DECISION = Need("decisions.members", "decision_us")
@@ -51,7 +51,7 @@
         "serving",
         "messages",
         "requests a second",
-        Figure("/s", told(SIZE.asked, f"{num(SIZE.requests)}/s ÷ {num(SIZE.gateways)} gateways")),
+        Figure("/s", constant(SIZE.asked, f"{num(SIZE.requests)}/s ÷ {num(SIZE.gateways)} gateways")),
         program.ONE_LOOP,
     ),
     Row(
@@ -60,7 +60,7 @@
         "body of a request in one frame, mean",
         Figure(
             "KB",
-            told(SIZE.body_kb, f"{num(SIZE.bits)} bit/s ÷ 8 ÷ {num(SIZE.requests)}/s"),
+            constant(SIZE.body_kb, f"{num(SIZE.bits)} bit/s ÷ 8 ÷ {num(SIZE.requests)}/s"),
             allowed=MAX_FRAME_BYTES / 1e3,
         ),
         program.FRAMES,
@@ -71,7 +71,9 @@
         "parts a second, if bodies come in the largest parts",
         Figure(
             "/s",
-            told(program.PARTS, f"{num(SIZE.asked)}/s × {num(SIZE.body_kb)} KB ÷ {num(program.PART_KB)} KB"),
+            constant(
+                program.PARTS, f"{num(SIZE.asked)}/s × {num(SIZE.body_kb)} KB ÷ {num(program.PART_KB)} KB"
+            ),
         ),
         program.FRAMES,
     ),
@@ -79,14 +81,14 @@
         "serving",
         "messages",
         "bytes a second to clients",
-        Figure("MB/s", told(SIZE.sent_mb, f"{num(SIZE.bits)} bit/s ÷ 8 ÷ {num(SIZE.gateways)} gateways")),
+        Figure("MB/s", constant(SIZE.sent_mb, f"{num(SIZE.bits)} bit/s ÷ 8 ÷ {num(SIZE.gateways)} gateways")),
         program.ONE_LOOP,
     ),
     Row(
         "serving",
         "processor",
         "bytes of bodies by one core",
-        Figure("MB/s", _core_bytes, (BODY,), SIZE.sent_mb, True),
+        Figure("MB/s", _bytes_per_core, (BODY,), SIZE.sent_mb, True),
         program.ONE_LOOP,
     ),
     Row(
@@ -107,7 +109,7 @@
         "serving",
         "processor",
         "processor time of as many requests of 1 KB",
-        Figure("cores", _rate, (Need("serving.rate", "core_percent"),), 1.0),
+        Figure("cores", _cores_by_rate, (Need("serving.rate", "core_percent"),), 1.0),
         program.ONE_LOOP,
     ),
     Row(
@@ -130,7 +132,7 @@
         "requests open at once, for each 0.1 s one is",
         Figure(
             "",
-            told(program.PARTS * program.CALM, f"{num(program.PARTS)}/s × {num(program.CALM)} s"),
+            constant(program.PARTS * program.CALM, f"{num(program.PARTS)}/s × {num(program.CALM)} s"),
             allowed=program.BOUNDS.requests,
         ),
         program.LIMITS,
@@ -141,7 +143,7 @@
         "bodies held at once, for each 0.1 s one is",
         Figure(
             "MB",
-            told(
+            constant(
                 SIZE.sent_mb * program.CALM,
                 f"{num(SIZE.sent_mb)} MB/s × {num(program.CALM)} s; "
                 f"allowed: a gateway's with {num(program.MEMORY_MB)} MB",
@@ -156,7 +158,7 @@
         "own copies held, of mean size",
         Figure(
             "",
-            told(
+            constant(
                 program.BOUNDS.local_cache_bytes / 1e3 / SIZE.body_kb,
                 f"{num(program.BOUNDS.local_cache_bytes / 1e6)} MB ÷ {num(SIZE.body_kb)} KB, of "
                 f"{num(SIZE.objects)} objects",
@@ -167,8 +169,8 @@
 )
 
 
-def _decision(size: Size, decision: Slope) -> Worked:
-    return Worked(
+def _decision(size: Size, decision: Slope) -> Computed:
+    return Computed(
         decision.at(size.stores), f"{num(size.stores)} members; allowed: 1 s ÷ {num(program.PARTS)} parts"
     )
 
@@ -178,7 +180,7 @@
         "decision",
         "messages",
         "events a second, a request's and its outcome's at the least",
-        Figure("/s", told(2 * program.PARTS, f"2 × {num(program.PARTS)} parts/s")),
+        Figure("/s", constant(2 * program.PARTS, f"2 × {num(program.PARTS)} parts/s")),
         program.MODULE,
     ),
     Row(
@@ -194,7 +196,7 @@
         "a decision, by zones",
         Figure(
             "µs",
-            lambda size, of: Worked(of.at(size.zones), f"{num(size.zones)} zones"),
+            lambda size, slope: Computed(slope.at(size.zones), f"{num(size.zones)} zones"),
             (Need("decisions.zones", "decision_us"),),
             1e6 / program.PARTS,
         ),
@@ -206,7 +208,7 @@
         "a decision, by parents, were there one in each zone",
         Figure(
             "µs",
-            lambda size, of: Worked(of.at(size.zones), f"{num(size.zones)} parents"),
+            lambda size, slope: Computed(slope.at(size.zones), f"{num(size.zones)} parents"),
             (Need("decisions.parents", "decision_us"),),
             1e6 / program.PARTS,
         ),
@@ -218,7 +220,7 @@
         "a decision, by objects counted",
         Figure(
             "µs",
-            lambda size, of: Worked(of.at(COUNTS_MAX), f"{num(COUNTS_MAX)}, the most counted"),
+            lambda size, slope: Computed(slope.at(COUNTS_MAX), f"{num(COUNTS_MAX)}, the most counted"),
             (Need("decisions.objects", "decision_us"),),
             1e6 / program.PARTS,
         ),
@@ -230,7 +232,7 @@
         "memory, by members",
         Figure(
             "KB",
-            lambda size, of: Worked(of.at(size.stores), f"{num(size.stores)} members"),
+            lambda size, slope: Computed(slope.at(size.stores), f"{num(size.stores)} members"),
             (Need("decisions.members", "memory_kb"),),
         ),
         program.MODULE,
@@ -241,7 +243,7 @@
         "memory, by zones",
         Figure(
             "KB",
-            lambda size, of: Worked(of.at(size.zones), f"{num(size.zones)} zones"),
+            lambda size, slope: Computed(slope.at(size.zones), f"{num(size.zones)} zones"),
             (Need("decisions.zones", "memory_kb"),),
         ),
         program.MODULE,
@@ -252,7 +254,7 @@
         "memory, by objects counted",
         Figure(
             "KB",
-            lambda size, of: Worked(of.at(COUNTS_MAX), f"{num(COUNTS_MAX)} objects"),
+            lambda size, slope: Computed(slope.at(COUNTS_MAX), f"{num(COUNTS_MAX)} objects"),
             (Need("decisions.objects", "memory_kb"),),
         ),
         program.MODULE,
@@ -263,7 +265,7 @@
         "objects that a gateway hears of in 10 s, were each asked for once",
         Figure(
             "",
-            told(
+            constant(
                 SIZE.asked * COUNT_HALVING_INTERVAL / program.SECOND,
                 f"{num(SIZE.asked)}/s × {num(COUNT_HALVING_INTERVAL / program.SECOND)} s; "
                 "counts are halved then",
@@ -278,7 +280,7 @@
         "of all objects, those that a gateway can have counted",
         Figure(
             "in a million",
-            told(
+            constant(
                 1e6 * COUNTS_MAX / SIZE.objects,
                 f"{num(COUNTS_MAX)} ÷ {num(SIZE.objects)}",
             ),
@@ -288,48 +290,48 @@
 )
 
 
-def _ready(size: Size, ready: Slope) -> Worked:
-    return Worked(ready.at(size.stores), f"{num(size.stores)} members in the configuration's list")
+def _ready(size: Size, ready: Slope) -> Computed:
+    return Computed(ready.at(size.stores), f"{num(size.stores)} members in the configuration's list")
 
 
-def _start_core(size: Size, core: Slope) -> Worked:
+def _start_core_time(size: Size, core: Slope) -> Computed:
     ms = core.at(size.stores)
     text = f"{num(size.restarted_a_day)} starts a day × {num(ms)} ms"
-    return Worked(size.restarted_a_day * ms / 1e3, text)
+    return Computed(size.restarted_a_day * ms / 1e3, text)
 
 
-def _start_kb(size: Size, known: Slope, poll: Slope) -> Worked:
+def _start_bytes(size: Size, known: Slope, poll: Slope) -> Computed:
     kb = known.at(size.stores), poll.at(size.stores)
     text = f"{num(kb[0])} KB that its configuration knows + {num(kb[1])} KB of the first poll"
-    return Worked(sum(kb), text)
+    return Computed(sum(kb), text)
 
 
-def _start_seconds(size: Size, known: Slope, poll: Slope) -> Worked:
-    kb = _start_kb(size, known, poll).value
-    return Worked(1e3 * kb / size.control_bytes, f"{num(kb)} KB ÷ {num(size.control_bytes)} bytes/s")
+def _start_seconds(size: Size, known: Slope, poll: Slope) -> Computed:
+    kb = _start_bytes(size, known, poll).value
+    return Computed(1e3 * kb / size.control_bytes, f"{num(kb)} KB ÷ {num(size.control_bytes)} bytes/s")
 
 
-def _together(size: Size, slowest: Slope) -> Worked:
-    return Worked(slowest.at(size.site), f"{num(size.site)} gateways of a site on the cores of one machine")
+def _site_start(size: Size, slowest: Slope) -> Computed:
+    return Computed(slowest.at(size.site), f"{num(size.site)} gateways of a site on the cores of one machine")
 
 
-def _roll(size: Size, ready: Slope) -> Worked:
+def _rollout(size: Size, ready: Slope) -> Computed:
     ms, at_once = ready.at(size.stores), size.gateways / 100
     drain = num(shutdown.MAX_LATE_REQUEST_WAIT)
     text = f"100 steps of {num(at_once)} gateways × ({drain} s of drain + {num(ms)} ms)"
-    return Worked(100 * (shutdown.MAX_LATE_REQUEST_WAIT + ms / 1e3) / 60, text)
+    return Computed(100 * (shutdown.MAX_LATE_REQUEST_WAIT + ms / 1e3) / 60, text)
 
 
 READY = Need("starts.members", "ready_ms")
-STARTED = Need("starts.members", "known_kb"), Need("starts.members", "poll_kb")
-TOGETHER = Need("starts.together", "slowest_ms")
+START_BYTES = Need("starts.members", "known_kb"), Need("starts.members", "poll_kb")
+SITE_START = Need("starts.together", "slowest_ms")
 
 STARTS = (
     Row(
         "start",
         "state",
         "own copies that a restart drops, at most",
-        Figure("MB", told(program.BOUNDS.local_cache_bytes / 1e6, "the program's own bound")),
+        Figure("MB", constant(program.BOUNDS.local_cache_bytes / 1e6, "the program's own bound")),
         program.COPIES,
     ),
     Row(
@@ -338,7 +340,7 @@
         "the most while it starts",
         Figure(
             "MB",
-            lambda size, peak: Worked(peak.at(size.stores), f"{num(size.stores)} members"),
+            lambda size, peak: Computed(peak.at(size.stores), f"{num(size.stores)} members"),
             (Need("starts.members", "peak_mb"),),
         ),
         program.START,
@@ -347,7 +349,7 @@
         "start",
         "messages",
         "starts and restarts, if all were gateways: one every",
-        Figure("s", told(86_400 / SIZE.restarted_a_day, f"86,400 s ÷ {num(SIZE.restarted_a_day)}")),
+        Figure("s", constant(86_400 / SIZE.restarted_a_day, f"86,400 s ÷ {num(SIZE.restarted_a_day)}")),
         program.START,
     ),
     Row(
@@ -361,43 +363,49 @@
         "start",
         "time",
         "the same where the log does not answer: at most so much more",
-        Figure("s", told(change_log_poller.FIRST_RESPONSE_TIMEOUT, "the program's own bound")),
+        Figure("s", constant(change_log_poller.FIRST_RESPONSE_TIMEOUT, "the program's own bound")),
         program.START,
     ),
     Row(
         "start",
         "processor",
         "processor time of a day's starts",
-        Figure("s", _start_core, (Need("starts.members", "core_ms"),)),
+        Figure("s", _start_core_time, (Need("starts.members", "core_ms"),)),
         program.START,
     ),
     Row(
         "start",
         "time",
         "the same of all gateways of a site at once: the slowest",
-        Figure("ms", _together, (TOGETHER,)),
+        Figure("ms", _site_start, (SITE_START,)),
+        program.START,
+    ),
+    Row(
+        "start",
+        "messages",
+        "bytes that a start takes",
+        Figure("KB", _start_bytes, START_BYTES),
         program.START,
     ),
-    Row("start", "messages", "bytes that a start takes", Figure("KB", _start_kb, STARTED), program.START),
     Row(
         "start",
         "messages",
         "seconds of what control may send that one start uses up",
-        Figure("s", _start_seconds, STARTED),
+        Figure("s", _start_seconds, START_BYTES),
         program.START,
     ),
     Row(
         "start",
         "time",
         "a planned stop: the longest until its last answer, classes' deadlines aside",
-        Figure("s", told(shutdown.MAX_LATE_REQUEST_WAIT, "the program's own bound")),
+        Figure("s", constant(shutdown.MAX_LATE_REQUEST_WAIT, "the program's own bound")),
         program.DRAIN,
     ),
     Row(
         "start",
         "time",
         "all gateways restarted, a hundredth at a time",
-        Figure("min", _roll, (READY,)),
+        Figure("min", _rollout, (READY,)),
         Mechanism("a roll-out over the fleet that waits for each step"),
     ),
 )
@@ -406,42 +414,42 @@
 FILES = Need("second.files", "core_us")
 
 
-def _files(size: Size, core: Slope) -> Worked:
+def _files(size: Size, core: Slope) -> Computed:
     us = core.at(size.body_kb)
-    return Worked(1e6 / us, f"1 s ÷ {num(us)} µs for {num(size.body_kb)} KB")
+    return Computed(1e6 / us, f"1 s ÷ {num(us)} µs for {num(size.body_kb)} KB")
 
 
-def _files_cores(size: Size, core: Slope) -> Worked:
+def _files_cores(size: Size, core: Slope) -> Computed:
     us = core.at(size.body_kb)
-    return Worked(size.asked * us / 1e6, f"{num(size.asked)}/s × {num(us)} µs for {num(size.body_kb)} KB")
+    return Computed(size.asked * us / 1e6, f"{num(size.asked)}/s × {num(us)} µs for {num(size.body_kb)} KB")
 
 
-def _indexes(size: Size, core: Slope) -> Worked:
+def _indexes(size: Size, core: Slope) -> Computed:
     us = core.at(100)
-    return Worked(1e6 / us, f"1 s ÷ {num(us)} µs")
+    return Computed(1e6 / us, f"1 s ÷ {num(us)} µs")
 
 
-def _first_asked(size: Size, core: Slope) -> Worked:
+def _first_requests(size: Size, core: Slope) -> Computed:
     us = core.at(PROJECTS)
-    return Worked(1e6 / us, f"1 s ÷ {num(us)} µs, {num(PROJECTS)} projects held")
+    return Computed(1e6 / us, f"1 s ÷ {num(us)} µs, {num(PROJECTS)} projects held")
 
 
 PROJECTS = 6_400
-"""Projects held, for the sake of an example: nobody told how many there are."""
+"""Projects held, as an example: the operators give no number."""
 
 SECOND_FRONT = (
     Row(
         "second",
         "state",
         "indexes kept in the forms they were served in, at most",
-        Figure("MB", told(MAX_RENDERED_INDEX_BYTES / 1e6, "the program's own bound")),
+        Figure("MB", constant(MAX_RENDERED_INDEX_BYTES / 1e6, "the program's own bound")),
         program.FRONT,
     ),
     Row(
         "second",
         "messages",
         "purges a second that each front hears of",
-        Figure("/s", told(SIZE.purges, "as a gateway")),
+        Figure("/s", constant(SIZE.purges, "as a gateway")),
         program.POLLER,
     ),
     Row(
@@ -469,7 +477,7 @@
         "second",
         "processor",
         "projects asked for a first time, by one core",
-        Figure("/s", _first_asked, (Need("second.projects", "core_us"),)),
+        Figure("/s", _first_requests, (Need("second.projects", "core_us"),)),
         program.FRONT,
     ),
     Row(
@@ -478,7 +486,7 @@
         f"memory with {num(PROJECTS)} projects held",
         Figure(
             "MB",
-            lambda size, memory: Worked(memory.at(PROJECTS) / 1e3, "resident, the process itself included"),
+            lambda size, memory: Computed(memory.at(PROJECTS) / 1e3, "resident, the process itself included"),
             (Need("second.projects", "memory_kb"),),
         ),
         program.FRONT,
--- a/hallproxy/lab/capacity/page.py
+++ b/hallproxy/lab/capacity/page.py
@@ -1,4 +1,4 @@
-"""The generated blocks of docs/CAPACITY.md. The words between them are written by hand and stay."""
+"""The generated blocks of docs/CAPACITY.md. The text between them is written by hand and stays."""
 
 import re
 from collections.abc import Callable, Iterator, Sequence
@@ -19,11 +19,11 @@
 
 
 class PageError(ValueError):
-    """The page's marks are not those of the blocks there are."""
+    """The page's marks do not match the known blocks."""
 
 
 def slopes(results: Sequence[Result]) -> Slopes:
-    """Raises ResultsError where lines don't fit the measurements there are."""
+    """Raises ResultsError if lines don't match the measurements."""
     return Slopes(results, catalogue())
 
 
@@ -42,66 +42,75 @@
     return num(int(value) if value == int(value) else value)
 
 
-def slopes_table(of: Slopes) -> list[str]:
-    """One line for each quantity of each measurement, also of what was not run or failed."""
+def slopes_table(slopes: Slopes) -> list[str]:
+    """A line for each quantity of each measurement, including those not run or failed."""
     head = ("measurement", "by", "quantity", "sizes", "runs", "line", "residual", "furthest", "shape",
             "power", "spread")  # fmt: skip
     lines = []
-    for one in of.measurements.values():
-        for quantity in one.quantities:
-            by = f"{one.x} {one.x_unit}".strip()
-            lines.append([one.name, by, quantity.name, *_fitted(of.lines[one.name], quantity)])
+    for measurement in slopes.measurements.values():
+        for quantity in measurement.quantities:
+            by = f"{measurement.x} {measurement.x_unit}".strip()
+            lines.append(
+                [measurement.name, by, quantity.name, *_fitted(slopes.results[measurement.name], quantity)]
+            )
     return table(head, lines)
 
 
 def _fitted(lines: Sequence[Result], quantity: Quantity) -> list[str]:
     if not lines:
         return ["–", "0", "not measured", *["–"] * 5]
-    of = points(lines, quantity.name)
-    sizes, runs = ", ".join(_x(p.x) for p in of) or "–", str(max((p.repeats for p in of), default=0))
-    whys = sorted({line.failed for line in lines if line.failed})
-    if whys:
-        runs += f"; {sum(bool(line.failed) for line in lines)} of {len(lines)} failed: {'; '.join(whys)}"
+    samples = points(lines, quantity.name)
+    sizes, runs = (
+        ", ".join(_x(p.x) for p in samples) or "–",
+        str(max((p.repeats for p in samples), default=0)),
+    )
+    reasons = sorted({line.failed for line in lines if line.failed})
+    if reasons:
+        runs += f"; {sum(bool(line.failed) for line in lines)} of {len(lines)} failed: {'; '.join(reasons)}"
     if not quantity.fitted:
-        return [sizes, runs, "by size" if of else "not measured", *["–"] * 4, _share(spread(of))]
+        return [sizes, runs, "by size" if samples else "not measured", *["–"] * 4, _share(spread(samples))]
     try:
-        made = fit(of)
+        line_fit = fit(samples)
     except FitError as error:
         return [sizes, runs, f"not measured: {error}", *["–"] * 5]
-    sign = "-" if made.slope < 0 else "+"
-    line = f"{num(made.at_zero)} {sign} {num(abs(made.slope))}·x {quantity.unit}".strip()
-    power = "–" if made.power is None else f"{made.power:.2f}"
-    return [sizes, runs, line, _share(made.residual), _share(made.deviation), made.shape, power,
-            _share(made.spread)]  # fmt: skip
+    sign = "-" if line_fit.slope < 0 else "+"
+    line = f"{num(line_fit.intercept)} {sign} {num(abs(line_fit.slope))}·x {quantity.unit}".strip()
+    power = "–" if line_fit.power is None else f"{line_fit.power:.2f}"
+    return [sizes, runs, line, _share(line_fit.residual), _share(line_fit.deviation), line_fit.shape, power,
+            _share(line_fit.spread)]  # fmt: skip
 
 
-def _measurements(of: Slopes) -> list[str]:
-    """What each measures, and its plot."""
+def _measurements(slopes: Slopes) -> list[str]:
+    """Title and plot of each measurement."""
     lines = []
-    for one in of.measurements.values():
-        drawn = f"[plot](capacity/{plots.name(one.name)})" if plots.drawn(of, one) else "–"
-        lines.append([one.name, one.title, drawn])
+    for measurement in slopes.measurements.values():
+        plot = (
+            f"[plot](capacity/{plots.file_name(measurement.name)})"
+            if plots.has_points(slopes, measurement)
+            else "–"
+        )
+        lines.append([measurement.name, measurement.title, plot])
     return table(("measurement", "what is measured", "plot"), lines)
 
 
-def _points(of: Slopes) -> list[str]:
-    """The medians themselves, with the least and the most of the repeats."""
+def _points(slopes: Slopes) -> list[str]:
+    """The medians with the minimum and maximum of their repeats."""
     lines = []
-    for one in of.measurements.values():
-        for quantity in one.quantities:
-            found = points(of.lines[one.name], quantity.name)
+    for measurement in slopes.measurements.values():
+        for quantity in measurement.quantities:
+            found = points(slopes.results[measurement.name], quantity.name)
             if found:
-                said = (f"{_x(p.x)}: {num(p.y)} ({num(p.low)}–{num(p.high)})" for p in found)
-                lines.append([one.name, quantity.name, quantity.unit, "; ".join(said)])
+                texts = (f"{_x(p.x)}: {num(p.y)} ({num(p.low)}–{num(p.high)})" for p in found)
+                lines.append([measurement.name, quantity.name, quantity.unit, "; ".join(texts)])
     if not lines:
         return ["Nothing has been measured yet."]
     return table(("measurement", "quantity", "unit", "size: median (least–most)"), lines)
 
 
-def _machines(of: Slopes) -> list[str]:
-    """Which machine and which commit the figures are from, and how busy the machine was."""
-    seen: dict[tuple[str, ...], list[str]] = {}
-    for name, lines in of.lines.items():
+def _machines(slopes: Slopes) -> list[str]:
+    """The machines and commits of the figures, and the machines' load."""
+    names_by_run: dict[tuple[str, ...], list[str]] = {}
+    for name, lines in slopes.results.items():
         for line in lines:
             m, dirty = line.machine, ", with changes" if line.version["dirty"] else ""
             of_machine: tuple[str, ...] = (
@@ -111,23 +120,23 @@
                 str(m["kernel"]),
                 str(m["python"]),
             )
-            what = (*of_machine, f"{line.version['commit']}{dirty}", line.run)
-            seen.setdefault(what, []).append(name)
-    if not seen:
+            key = (*of_machine, f"{line.version['commit']}{dirty}", line.run)
+            names_by_run.setdefault(key, []).append(name)
+    if not names_by_run:
         return ["Nothing has been measured yet."]
     rows = []
-    for what, names in seen.items():
-        loads = [line.load for name in set(names) for line in of.lines[name]]
-        seeds = sorted({line.seed for name in set(names) for line in of.lines[name]})
-        rows.append([*what, ", ".join(dict.fromkeys(names)), ", ".join(str(seed) for seed in seeds),
+    for key, names in names_by_run.items():
+        loads = [line.load for name in set(names) for line in slopes.results[name]]
+        seeds = sorted({line.seed for name in set(names) for line in slopes.results[name]})
+        rows.append([*key, ", ".join(dict.fromkeys(names)), ", ".join(str(seed) for seed in seeds),
                          f"{min(loads):.1f}–{max(loads):.1f}"])  # fmt: skip
     head = ("processor", "cores", "memory (MB)", "kernel", "Python", "commit", "begun (UTC)", "measurements",
             "seeds", "load at begin")  # fmt: skip
     return table(head, rows)
 
 
-def _size(of: Slopes) -> list[str]:
-    """What follows from the operators' numbers by division."""
+def _size(slopes: Slopes) -> list[str]:
+    """Numbers derived from the operators' by division."""
     lines = [
         ["gateways of a site", f"{num(SIZE.gateways)} ÷ {num(SIZE.sites)}", num(SIZE.site)],
         ["gateways of a zone", f"{num(SIZE.gateways)} ÷ {num(SIZE.zones)}", num(SIZE.zone_gateways)],
@@ -144,24 +153,24 @@
 
 def _role(role: str) -> Callable[[Slopes], list[str]]:
     head = ("kind", "quantity", "arithmetic", "slope", "result", "allowed", "verdict", "mechanism")
-    return lambda of: table(head, [row_line(row, SIZE, of) for row in ROWS if row.role == role])
+    return lambda slopes: table(head, [row_line(row, SIZE, slopes) for row in ROWS if row.role == role])
 
 
-def _failures(of: Slopes) -> list[str]:
+def _failures(slopes: Slopes) -> list[str]:
     head = ("failure", "how often", "what is lost", "how it is noticed", "until all is whole",
             "what it costs", "slope", "allowed", "verdict", "mechanism")  # fmt: skip
-    return table(head, [failure_line(failure, SIZE, of) for failure in FAILURES])
+    return table(head, [failure_line(failure, SIZE, slopes) for failure in FAILURES])
 
 
-def _verdicts(of: Slopes) -> list[str]:
-    """How many rows of each role are carried, and how many not."""
+def _verdicts(slopes: Slopes) -> list[str]:
+    """The number of rows with each verdict, by role."""
     kinds = ("carried", "**not carried**", "**missing**", "not measured", "no bound told")
     lines = []
     for role, title in ROLES.items():
-        said = [row_line(row, SIZE, of)[6] for row in ROWS if row.role == role]
-        lines.append([title, *(str(said.count(kind)) for kind in kinds)])
-    said = [failure_line(failure, SIZE, of)[8] for failure in FAILURES]
-    lines.append(["Failures", *(str(said.count(kind)) for kind in kinds)])
+        verdicts = [row_line(row, SIZE, slopes)[6] for row in ROWS if row.role == role]
+        lines.append([title, *(str(verdicts.count(kind)) for kind in kinds)])
+    verdicts = [failure_line(failure, SIZE, slopes)[8] for failure in FAILURES]
+    lines.append(["Failures", *(str(verdicts.count(kind)) for kind in kinds)])
     return table(("role", *(kind.strip("*") for kind in kinds)), lines)
 
 
@@ -178,7 +187,7 @@
 
 
 def blocks(text: str) -> Iterator[tuple[str, str]]:
-    """Names and texts of the page's blocks. PageError where one is missing, doubled, unknown or not ended."""
+    """Names and texts of the page's blocks. PageError if one is missing, doubled, unknown or not ended."""
     found = [(match[2], match[3]) for match in _BLOCK.finditer(text)]
     names = [name for name, _ in found]
     if len(_MARK.findall(text)) != 2 * len(found):
@@ -192,19 +201,19 @@
     yield from found
 
 
-def render(text: str, of: Slopes) -> str:
-    """The page with its blocks anew. Raises PageError."""
+def render(text: str, slopes: Slopes) -> str:
+    """The page with its blocks generated again. Raises PageError."""
     dict(blocks(text))
-    return _BLOCK.sub(lambda match: match[1] + "\n".join(BLOCKS[match[2]](of)) + "\n" + match[4], text)
+    return _BLOCK.sub(lambda match: match[1] + "\n".join(BLOCKS[match[2]](slopes)) + "\n" + match[4], text)
 
 
-def differences(text: str, of: Slopes) -> list[str]:
-    """Each first line of a block that is not what the results give. Raises PageError."""
-    wrong = []
-    for name, there in blocks(text):
-        had, wanted = there.splitlines(), BLOCKS[name](of)
-        for number, (old, new) in enumerate(zip_longest(had, wanted, fillvalue="")):
+def differences(text: str, slopes: Slopes) -> list[str]:
+    """The first line of each block that differs from the results. Raises PageError."""
+    differing = []
+    for name, block in blocks(text):
+        present, expected = block.splitlines(), BLOCKS[name](slopes)
+        for number, (old, new) in enumerate(zip_longest(present, expected, fillvalue="")):
             if old != new:
-                wrong.append(f"{name}, line {number + 1}: the page says {old!r}, the results {new!r}")
+                differing.append(f"{name}, line {number + 1}: the page says {old!r}, the results {new!r}")
                 break
-    return wrong
+    return differing
--- a/hallproxy/lab/capacity/rows.py
+++ b/hallproxy/lab/capacity/rows.py
@@ -1,4 +1,4 @@
-"""What a row of the page is: inputs, the slopes it needs, some arithmetic, and what carries it."""
+"""Rows of the page: inputs, the slopes they need, the arithmetic, and the mechanism that carries the load."""
 
 import math
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -10,11 +10,11 @@
 from hallproxy.lab.capacity.size import Size
 
 NOT_MEASURED = math.nan
-"""Goes through all arithmetic, so that whatever needs a slope that is not there comes out as not measured."""
+"""Propagates through all arithmetic, so that a figure that needs a missing slope is not measured either."""
 
 
 def num(value: float) -> str:
-    """Whole numbers as they are, others to three digits; "?" for what is not measured."""
+    """Integers as they are, others to three significant digits; "?" if not measured."""
     if isinstance(value, int):
         return f"{value:,}"
     if math.isnan(value):
@@ -29,7 +29,7 @@
 
 
 def amount(value: float, unit: str) -> str:
-    """With its unit; parts of a core as a percentage, for that is how they are allowed."""
+    """The value with its unit; shares of a core as a percentage, the form of their bounds."""
     if unit == "cores" and value <= 1:
         return "1 core" if value == 1 else f"{num(100.0 * value)}% of a core"
     return f"{num(value)} {unit}".strip()
@@ -43,31 +43,31 @@
 
 @dataclass
 class Slope:
-    """What a row's arithmetic sees of a fit; it notes where a figure is weaker than a straight line."""
+    """A fit as used by a row's arithmetic; `notes` says where a figure is weaker than a straight line."""
 
     need: Need
     fit: Fit | None
-    lacks: str = ""
+    missing_reason: str = ""
     unit: str = ""
     fitted: bool = True
     notes: list[str] = field(default_factory=list)
 
     def at(self, x: float) -> float:
-        """On the line; where there is none to speak of, what was measured there, or else about there.
+        """y on the line; if the line is not usable, the figure measured at x, or else an estimate.
 
-        NOT_MEASURED where there is no fit.
+        NOT_MEASURED without a fit.
         """
         if self.fit is None:
             return NOT_MEASURED
-        known = {point.x: point.y for point in self.fit.points}
-        value, line = self.fit.at(x), self.fit.straight and self.fitted
-        if line and value < 0 <= min(known.values()):
+        measured = {point.x: point.y for point in self.fit.points}
+        value, use_line = self.fit.at(x), self.fit.straight and self.fitted
+        if use_line and value < 0 <= min(measured.values()):
             self._note(f"{self.need.quantity}: the line would be under 0")
-            line = False
-        if not line:
-            if x in known:
-                return known[x]
-            value = self.fit.near(x)
+            use_line = False
+        if not use_line:
+            if x in measured:
+                return measured[x]
+            value = self.fit.estimate(x)
             if self.fitted and not self.fit.straight:
                 self._note(f"{self.need.quantity} is no straight line: {self.fit.shape}")
             elif not self.fitted and self.fit.points[0].x < x < self.fit.largest:
@@ -79,14 +79,14 @@
         return value
 
     def cores(self, x: float) -> float:
-        """A share of a core that was measured, in cores. KeyError for a quantity that is none."""
+        """A measured share of a core, in cores. Raises KeyError for a quantity in another unit."""
         if self.fit is None:
             return NOT_MEASURED
         return self.at(x) * {"%": 0.01, "us/s": 1e-6}[self.unit.partition(" ")[0]]
 
     @property
-    def each(self) -> float:
-        """For each one more of what the sizes count."""
+    def per_unit(self) -> float:
+        """The increase for each further unit of size."""
         if self.fit is None:
             return NOT_MEASURED
         if not self.fit.straight:
@@ -99,24 +99,24 @@
 
 
 class Slopes:
-    """All fits that the results give. `of` never fails: what is not there says why."""
+    """All fits of the results. `slope` never fails: a missing one has the reason."""
 
     def __init__(self, results: Sequence[Result], measurements: Mapping[str, Measurement]) -> None:
         self.measurements = measurements
-        self.lines = {name: latest(results, one) if any(r.measurement == name for r in results) else []
+        self.results = {name: latest(results, one) if any(r.measurement == name for r in results) else []
                       for name, one in measurements.items()}  # fmt: skip
 
-    def of(self, need: Need) -> Slope:
-        one = self.measurements.get(need.measurement)
-        if one is None:
+    def slope(self, need: Need) -> Slope:
+        measurement = self.measurements.get(need.measurement)
+        if measurement is None:
             return Slope(need, None, "there is no such measurement")
-        lines = self.lines[need.measurement]
+        lines = self.results[need.measurement]
         if not lines:
             return Slope(need, None, "not run")
         try:
-            quantity = one.quantity(need.quantity)
-            made = fit(points(lines, quantity.name))
-            return Slope(need, made, unit=quantity.unit, fitted=quantity.fitted)
+            quantity = measurement.quantity(need.quantity)
+            line_fit = fit(points(lines, quantity.name))
+            return Slope(need, line_fit, unit=quantity.unit, fitted=quantity.fitted)
         except FitError as error:
             failed = {line.failed for line in lines if line.failed}
             return Slope(need, None, f"{error}" + "".join(f"; failed: {why}" for why in sorted(failed)))
@@ -125,66 +125,68 @@
 
 
 @dataclass(frozen=True)
-class Worked:
-    """A result and how it came about, with its inputs, as shown."""
+class Computed:
+    """A result, and the text of its arithmetic with the inputs."""
 
     value: float
     text: str
 
 
-Work = Callable[..., Worked]
-"""Of the size and then a Slope for each need, in their order."""
+Computation = Callable[..., Computed]
+"""Takes the size and then a Slope for each need, in their order."""
 
 
-def told(value: float, text: str) -> Work:
-    """Arithmetic on the operators' numbers and the program's own bounds alone."""
-    return lambda size, *slopes: Worked(value, text)
+def constant(value: float, text: str) -> Computation:
+    """Arithmetic only on the operators' numbers and the program's own bounds."""
+    return lambda size, *slopes: Computed(value, text)
 
 
 @dataclass(frozen=True)
 class Mechanism:
-    """What carries a row, and the file or directory that it is in. Where that isn't there it is missing."""
+    """What carries a row's load, and the file or directory that implements it; missing without that path."""
 
     text: str
-    where: str = ""
+    path: str = ""
 
     @property
-    def there(self) -> bool:
-        return bool(self.where) and (ROOT / self.where).exists()
+    def exists(self) -> bool:
+        return bool(self.path) and (ROOT / self.path).exists()
 
     def __str__(self) -> str:
-        return f"{self.text} (`{self.where}`)" if self.there else f"missing: {self.text}"
+        return f"{self.text} (`{self.path}`)" if self.exists else f"missing: {self.text}"
 
 
 @dataclass(frozen=True)
 class Figure:
-    """One result. `allowed`: None where nobody told a bound; with `least` the result must reach it."""
+    """One result. `allowed`: None if the operators gave no bound; with `minimum` it is a lower bound."""
 
     unit: str
-    work: Work
+    computation: Computation
     needs: tuple[Need, ...] = ()
     allowed: float | None = None
-    least: bool = False
+    minimum: bool = False
 
-    def worked(self, size: Size, slopes: Slopes) -> tuple[Worked, list[Slope]]:
-        """The text ends with what the slopes noted about themselves."""
-        used = [slopes.of(need) for need in self.needs]
-        came = self.work(size, *used)
+    def compute(self, size: Size, slopes: Slopes) -> tuple[Computed, list[Slope]]:
+        """The result and the slopes used; its text ends with their notes."""
+        used = [slopes.slope(need) for need in self.needs]
+        computed = self.computation(size, *used)
         notes = list(dict.fromkeys(note for slope in used for note in slope.notes))
-        return (Worked(came.value, f"{came.text} ({'; '.join(notes)})") if notes else came), used
+        return (
+            Computed(computed.value, f"{computed.text} ({'; '.join(notes)})") if notes else computed
+        ), used
 
     def verdict(self, value: float) -> str:
         if math.isnan(value):
             return "not measured"
         if self.allowed is None:
             return "no bound told"
-        kept = value >= self.allowed if self.least else value <= self.allowed
-        return "carried" if kept else "**not carried**"
+        within_bound = value >= self.allowed if self.minimum else value <= self.allowed
+        return "carried" if within_bound else "**not carried**"
 
     def bound(self) -> str:
         if self.allowed is None:
             return "–"
-        return ("at least " if self.least else "") + amount(self.allowed, self.unit)
+        return ("at least " if self.minimum else "") + amount(self.allowed, self.unit)
 
 
 KINDS = ("state", "messages", "processor", "memory", "time")
@@ -202,14 +204,14 @@
 
 
 def row_line(row: Row, size: Size, slopes: Slopes) -> list[str]:
-    """The cells of a role's table."""
-    came, used = row.figure.worked(size, slopes)
-    verdict = row.figure.verdict(came.value) if row.mechanism.there else "**missing**"
-    result = "not measured" if math.isnan(came.value) else amount(came.value, row.figure.unit)
+    """The cells of a row in its role's table."""
+    computed, used = row.figure.compute(size, slopes)
+    verdict = row.figure.verdict(computed.value) if row.mechanism.exists else "**missing**"
+    result = "not measured" if math.isnan(computed.value) else amount(computed.value, row.figure.unit)
     return [
         row.kind,
         row.quantity,
-        came.text,
+        computed.text,
         sources(used),
         result,
         row.figure.bound(),
@@ -219,18 +221,18 @@
 
 
 def sources(used: Iterable[Slope]) -> str:
-    """Which slopes, and what they are; without any it is arithmetic alone."""
-    said = []
+    """The slopes by name and line; "arithmetic" without any."""
+    texts = []
     for slope in used:
         name = f"{slope.need.measurement} {slope.need.quantity}"
-        said.append(f"{name}: {line(slope)}")
-    return "; ".join(dict.fromkeys(said)) or "arithmetic"
+        texts.append(f"{name}: {line_text(slope)}")
+    return "; ".join(dict.fromkeys(texts)) or "arithmetic"
 
 
-def line(of: Slope) -> str:
-    if of.fit is None:
-        return of.lacks
-    if not of.fitted or not of.fit.straight:
+def line_text(slope: Slope) -> str:
+    if slope.fit is None:
+        return slope.missing_reason
+    if not slope.fitted or not slope.fit.straight:
         return "by size"
-    sign = "-" if of.fit.slope < 0 else "+"
-    return f"{num(of.fit.at_zero)} {sign} {num(abs(of.fit.slope))}·x {of.unit}".strip()
+    sign = "-" if slope.fit.slope < 0 else "+"
+    return f"{num(slope.fit.intercept)} {sign} {num(abs(slope.fit.slope))}·x {slope.unit}".strip()
--- a/hallproxy/lab/capacity/store_rows.py
+++ b/hallproxy/lab/capacity/store_rows.py
@@ -1,40 +1,42 @@
-"""Rows of a store: what all gateways hold open to it, and send it, also when it is cold."""
+"""Rows of a store: the connections and requests of all gateways to it, also when it is cold."""
 
 from hallproxy.decisions import slow_start
 from hallproxy.lab.capacity import program
-from hallproxy.lab.capacity.rows import Figure, Need, Row, Slope, Worked, num, told
+from hallproxy.lab.capacity.rows import Computed, Figure, Need, Row, Slope, constant, num
 from hallproxy.lab.capacity.size import SIZE, Size
 from hallproxy.run import limits
 
 
-def _idle(size: Size, share: Slope) -> Worked:
+def _idle_cores(size: Size, share: Slope) -> Computed:
     held = program.BOUNDS.connections
-    return Worked(share.cores(held), f"{num(held)} connections")
+    return Computed(share.cores(held), f"{num(held)} connections")
 
 
-def _opened(size: Size, opened: Slope) -> Worked:
+def _opening_cores(size: Size, opened: Slope) -> Computed:
     us = opened.at(opened.fit.largest if opened.fit else 0)
     text = f"{num(size.asked)} requests/s × {num(us)} µs, at the most connections measured"
-    return Worked(size.asked * us / 1e6, text)
+    return Computed(size.asked * us / 1e6, text)
 
 
-def _held(size: Size, memory: Slope) -> Worked:
-    held, kb = program.BOUNDS.connections, memory.each
-    return Worked(held * kb / 1e3, f"{num(held)} connections × {num(kb)} KB")
+def _connection_memory(size: Size, memory: Slope) -> Computed:
+    held, kb = program.BOUNDS.connections, memory.per_unit
+    return Computed(held * kb / 1e3, f"{num(held)} connections × {num(kb)} KB")
 
 
-def _cold(size: Size, over: Slope) -> Worked:
-    return Worked(over.at(size.zone_gateways), f"{num(size.zone_gateways)} gateways of its zone ask at once")
+def _cold(size: Size, excess: Slope) -> Computed:
+    return Computed(
+        excess.at(size.zone_gateways), f"{num(size.zone_gateways)} gateways of its zone ask at once"
+    )
 
 
-def _cold_parent(size: Size, over: Slope) -> Worked:
-    return Worked(
-        over.at(size.gateways), f"all {num(size.gateways)} gateways ask at once, more than any hub has"
+def _cold_parent(size: Size, excess: Slope) -> Computed:
+    return Computed(
+        excess.at(size.gateways), f"all {num(size.gateways)} gateways ask at once, more than any hub has"
     )
 
 
-COLD_EXAMPLE = 100.0
-"""Calls a window that a cold store bears, for the sake of an example: the settings tell it."""
+COLD_CALLS = 100.0
+"""Calls a window that a cold store takes, as an example: the settings define it."""
 
 STORE = (
     Row(
@@ -43,7 +45,7 @@
         "connections that all gateways hold to one, one each",
         Figure(
             "",
-            told(
+            constant(
                 SIZE.gateways,
                 f"{num(SIZE.gateways)} gateways × 1; a gateway's asks it "
                 f"{num(SIZE.asked / SIZE.stores)} times a second, and idle ones are kept "
@@ -56,14 +58,14 @@
         "store",
         "state",
         "the same, were only its own zone's gateways to ask it",
-        Figure("", told(SIZE.zone_gateways, f"{num(SIZE.gateways)} ÷ {num(SIZE.zones)} zones")),
+        Figure("", constant(SIZE.zone_gateways, f"{num(SIZE.gateways)} ÷ {num(SIZE.zones)} zones")),
         program.LINKED,
     ),
     Row(
         "store",
         "state",
         "a parent's, asked by its region's gateways",
-        Figure("", told(SIZE.region_gateways, f"{num(SIZE.gateways)} ÷ {num(SIZE.regions)} regions")),
+        Figure("", constant(SIZE.region_gateways, f"{num(SIZE.gateways)} ÷ {num(SIZE.regions)} regions")),
         program.LINKED,
     ),
     Row(
@@ -72,7 +74,7 @@
         "connections of a gateway, one to each store",
         Figure(
             "",
-            told(
+            constant(
                 SIZE.stores,
                 f"{num(SIZE.stores)} stores; {num(program.SOCKETS)} sockets less "
                 f"{num(program.BOUNDS.downstreams)} for clients and {num(limits.RESERVED_DESCRIPTORS)}",
@@ -85,28 +87,28 @@
         "store",
         "processor",
         "a gateway with all the connections it may hold, idle",
-        Figure("cores", _idle, (Need("stores.connections", "core_us"),)),
+        Figure("cores", _idle_cores, (Need("stores.connections", "core_us"),)),
         program.LINKED,
     ),
     Row(
         "store",
         "processor",
         "opening a connection and closing another for it, as each request may where they are too few",
-        Figure("cores", _opened, (Need("stores.connections", "open_us"),), 1.0),
+        Figure("cores", _opening_cores, (Need("stores.connections", "open_us"),), 1.0),
         program.LINKED,
     ),
     Row(
         "store",
         "memory",
         "a gateway's connections, as many as it may hold",
-        Figure("MB", _held, (Need("stores.connections", "memory_kb"),)),
+        Figure("MB", _connection_memory, (Need("stores.connections", "memory_kb"),)),
         program.LINKED,
     ),
     Row(
         "store",
         "messages",
         "requests a second at one, own copies left out",
-        Figure("/s", told(SIZE.requests / SIZE.stores, f"{num(SIZE.requests)}/s ÷ {num(SIZE.stores)}")),
+        Figure("/s", constant(SIZE.requests / SIZE.stores, f"{num(SIZE.requests)}/s ÷ {num(SIZE.stores)}")),
         program.MODULE,
     ),
     Row(
@@ -115,7 +117,7 @@
         "bytes a second out of one",
         Figure(
             "MB/s",
-            told(SIZE.bits / 8 / SIZE.stores / 1e6, f"{num(SIZE.bits)} bit/s ÷ 8 ÷ {num(SIZE.stores)}"),
+            constant(SIZE.bits / 8 / SIZE.stores / 1e6, f"{num(SIZE.bits)} bit/s ÷ 8 ÷ {num(SIZE.stores)}"),
         ),
         program.MODULE,
     ),
@@ -123,7 +125,7 @@
         "store",
         "state",
         "objects on one, each kept once",
-        Figure("", told(SIZE.objects / SIZE.stores, f"{num(SIZE.objects)} ÷ {num(SIZE.stores)}")),
+        Figure("", constant(SIZE.objects / SIZE.stores, f"{num(SIZE.objects)} ÷ {num(SIZE.stores)}")),
         program.MODULE,
     ),
     Row(
@@ -132,9 +134,9 @@
         "a cold cache that bears 100 calls a window: calls a window of each gateway of its zone",
         Figure(
             "",
-            told(
-                slow_start.BUDGET_SHARE * COLD_EXAMPLE / SIZE.zone_gateways,
-                f"{num(slow_start.BUDGET_SHARE)} × {num(COLD_EXAMPLE)} ÷ {num(SIZE.zone_gateways)} gateways",
+            constant(
+                slow_start.BUDGET_SHARE * COLD_CALLS / SIZE.zone_gateways,
+                f"{num(slow_start.BUDGET_SHARE)} × {num(COLD_CALLS)} ÷ {num(SIZE.zone_gateways)} gateways",
             ),
         ),
         program.MODULE,
@@ -145,9 +147,9 @@
         "a cold parent that bears 100 calls a window: calls a window of each gateway",
         Figure(
             "",
-            told(
-                slow_start.BUDGET_SHARE * COLD_EXAMPLE / SIZE.gateways,
-                f"{num(slow_start.BUDGET_SHARE)} × {num(COLD_EXAMPLE)} ÷ {num(SIZE.gateways)} gateways, its "
+            constant(
+                slow_start.BUDGET_SHARE * COLD_CALLS / SIZE.gateways,
+                f"{num(slow_start.BUDGET_SHARE)} × {num(COLD_CALLS)} ÷ {num(SIZE.gateways)} gateways, its "
                 "own hub's aside",
             ),
         ),
@@ -172,7 +174,7 @@
         "messages",
         "purges a second that it hears of",
         Figure(
-            "/s", told(SIZE.purges, "from its own log; a gateway tells it an age limit with each request")
+            "/s", constant(SIZE.purges, "from its own log; a gateway tells it an age limit with each request")
         ),
         program.PURGES,
     ),
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -21,7 +21,7 @@
 from hallproxy.lab.capacity.registry import Measurement, Quantity, Run
 from hallproxy.lab.capacity.results import Result, ResultsError
 from hallproxy.lab.capacity.roles import ROLES, ROWS
-from hallproxy.lab.capacity.rows import KINDS, Figure, Mechanism, Need, Slopes, Worked, num, row_line
+from hallproxy.lab.capacity.rows import KINDS, Computed, Figure, Mechanism, Need, Slopes, num, row_line
 from hallproxy.lab.capacity.size import SIZE
 from tests.support.capacity_runs import run_tiny
 from tests.support.gateway import ROOT
@@ -46,27 +46,27 @@
 
 def test_points_on_a_line_give_that_line_and_no_residual() -> None:
     made = fit(of({x: 3.0 + 0.5 * x for x in (10, 100, 1_000, 4_000)}))
-    assert made.slope == pytest.approx(0.5) and made.at_zero == pytest.approx(3.0)
+    assert made.slope == pytest.approx(0.5) and made.intercept == pytest.approx(3.0)
     assert made.residual < 1e-9 and made.deviation < 1e-9
     assert made.shape == "straight" and made.at(2_000) == pytest.approx(1_003.0)
 
 
 def test_in_proportion_the_power_is_one() -> None:
     made = fit(of({x: 0.25 * x for x in (1, 10, 100, 1_000)}))
-    assert made.power == pytest.approx(1.0) and made.at_zero == pytest.approx(0.0, abs=1e-9)
+    assert made.power == pytest.approx(1.0) and made.intercept == pytest.approx(0.0, abs=1e-9)
 
 
 def test_a_square_shows_by_its_power_and_its_residual() -> None:
     made = fit(of({x: 2.0 * x * x for x in (1, 10, 100, 1_000)}))
     assert made.power == pytest.approx(2.0) and made.residual > 0.05
     assert not made.straight and made.shape == "worse than in proportion, power 2.00"
-    assert made.near(10) == pytest.approx(200.0) and made.near(2_000) == pytest.approx(8e6)
-    assert made.near(55) == pytest.approx((200 + 20_000) / 2)  # halfway from 10 to 100, on the chord
+    assert made.estimate(10) == pytest.approx(200.0) and made.estimate(2_000) == pytest.approx(8e6)
+    assert made.estimate(55) == pytest.approx((200 + 20_000) / 2)  # halfway from 10 to 100, on the chord
 
 
 def test_a_size_of_nothing_counts_for_the_line_and_not_for_the_power() -> None:
     made = fit(of({0: 5.0, 1: 7.0, 10: 25.0, 100: 205.0, 1_000: 2_005.0}))
-    assert made.at_zero == pytest.approx(5.0) and made.slope == pytest.approx(2.0)
+    assert made.intercept == pytest.approx(5.0) and made.slope == pytest.approx(2.0)
     of_the_rest = fit(of({1: 7.0, 10: 25.0, 100: 205.0, 1_000: 2_005.0})).power
     assert made.power is not None and made.power == pytest.approx(of_the_rest)
 
@@ -83,7 +83,7 @@
 def test_the_residual_and_the_largest_deviation_of_known_points() -> None:
     # Through (1, 1), (2, 3), (3, 3), (4, 5) by hand: 0 + 1.2 x, off by -0.2, 0.6, -0.6, 0.2.
     made = fit(of({1: 1.0, 2: 3.0, 3: 3.0, 4: 5.0}))
-    assert made.slope == pytest.approx(1.2) and made.at_zero == pytest.approx(0.0, abs=1e-9)
+    assert made.slope == pytest.approx(1.2) and made.intercept == pytest.approx(0.0, abs=1e-9)
     assert made.residual == pytest.approx(math.sqrt((0.04 + 0.36 + 0.36 + 0.04) / 4) / 3)
     assert made.deviation == pytest.approx(0.2)
     assert not made.straight
@@ -200,10 +200,10 @@
     early, late = "2026-12-01T00:00:00+00:00", "2026-12-02T00:00:00+00:00"
     lines = [line("m", x, {"y": x}, run=early) for x in (1.0, 2.0, 3.0, 4.0, 5.0)]
     lines += [line("m", x, {"y": 2 * x}, run=late) for x in (1.0, 2.0, 3.0, 4.0)]
-    assert Slopes(lines, {"m": one}).of(Need("m", "y")).at(4.0) == pytest.approx(8.0)
+    assert Slopes(lines, {"m": one}).slope(Need("m", "y")).at(4.0) == pytest.approx(8.0)
     lines.append(line("m", 1.0, failed="broke", run="2026-12-03T00:00:00+00:00"))
-    lacking = Slopes(lines, {"m": one}).of(Need("m", "y"))
-    assert math.isnan(lacking.at(4.0)) and lacking.lacks == "0 sizes of at least 4; failed: broke"
+    lacking = Slopes(lines, {"m": one}).slope(Need("m", "y"))
+    assert math.isnan(lacking.at(4.0)) and lacking.missing_reason == "0 sizes of at least 4; failed: broke"
 
 
 # Rows ---------------------------------------------------------------------------------------------------
@@ -219,27 +219,27 @@
 
 
 def test_a_row_says_where_its_figure_is_weaker_than_a_line() -> None:
-    straight = slopes_of(lambda x: 2 * x).of(Need("m", "y"))
+    straight = slopes_of(lambda x: 2 * x).slope(Need("m", "y"))
     assert straight.at(3.5) == pytest.approx(7.0) and straight.notes == []
     assert straight.at(8.0) == pytest.approx(16.0) and straight.notes == ["2 × the largest size measured"]
     assert (
         straight.at(0.5) == pytest.approx(1.0) and straight.notes[1] == "under the smallest size measured, 1"
     )
-    curve = slopes_of(lambda x: x**3).of(Need("m", "y"))
+    curve = slopes_of(lambda x: x**3).slope(Need("m", "y"))
     assert curve.at(3.0) == 27.0 and curve.notes == []
     assert curve.at(3.5) == pytest.approx((27 + 64) / 2)
     assert curve.notes == ["y is no straight line: worse than in proportion, power 3.00"]
 
 
 def test_a_line_that_falls_under_nothing_is_not_followed_there() -> None:
-    falling = slopes_of(lambda x: 10.0 - x).of(Need("m", "y"))
+    falling = slopes_of(lambda x: 10.0 - x).slope(Need("m", "y"))
     assert falling.at(4.0) == pytest.approx(6.0) and falling.notes == []
     assert 0 < falling.at(20.0) < 6.0
     assert "y: the line would be under 0" in falling.notes
 
 
 def test_what_is_told_by_size_is_taken_there() -> None:
-    by_size = slopes_of(lambda x: 2 * x, fitted=False).of(Need("m", "y"))
+    by_size = slopes_of(lambda x: 2 * x, fitted=False).slope(Need("m", "y"))
     assert by_size.at(3.0) == 6.0 and by_size.notes == []
     assert by_size.at(3.5) == pytest.approx(7.0) and by_size.notes == ["between two sizes measured"]
 
@@ -249,16 +249,16 @@
     made = fit(of({x: 26 + 79 * x for x in (1, 2, 5, 9)}))
     assert (made.residual, made.deviation) == (0.0, 0.0)
     made = fit(of({x: 0.1 * x for x in (1, 7, 49, 343)}))
-    assert (made.at_zero, made.residual) == (0.0, 0.0)
+    assert (made.intercept, made.residual) == (0.0, 0.0)
     assert fit(of({x: 0.1 for x in (1, 7, 49, 343)})).slope == 0.0
 
 
 def test_shares_of_a_core_go_by_their_unit() -> None:
-    assert slopes_of(lambda x: x, "%").of(Need("m", "y")).cores(2.0) == pytest.approx(0.02)
-    assert slopes_of(lambda x: x, "% of each relay").of(Need("m", "y")).cores(2.0) == pytest.approx(0.02)
-    assert slopes_of(lambda x: x, "us/s").of(Need("m", "y")).cores(2.0) == pytest.approx(2e-6)
+    assert slopes_of(lambda x: x, "%").slope(Need("m", "y")).cores(2.0) == pytest.approx(0.02)
+    assert slopes_of(lambda x: x, "% of each relay").slope(Need("m", "y")).cores(2.0) == pytest.approx(0.02)
+    assert slopes_of(lambda x: x, "us/s").slope(Need("m", "y")).cores(2.0) == pytest.approx(2e-6)
     with pytest.raises(KeyError):
-        slopes_of(lambda x: x, "MB").of(Need("m", "y")).cores(2.0)
+        slopes_of(lambda x: x, "MB").slope(Need("m", "y")).cores(2.0)
 
 
 @pytest.mark.parametrize(
@@ -270,7 +270,7 @@
     ],
 )  # fmt: skip
 def test_verdicts(value: float, allowed: float | None, least: bool, verdict: str) -> None:
-    figure = Figure("", lambda size: Worked(value, ""), (), allowed, least)
+    figure = Figure("", lambda size: Computed(value, ""), (), allowed, least)
     assert figure.verdict(value) == verdict
 
 
@@ -331,12 +331,12 @@
 def test_with_results_no_row_lacks_a_measurement_that_there_is() -> None:
     of_all = page.slopes(everything(lambda x: 1.0 + x))
     for row in ROWS:
-        came, used = row.figure.worked(SIZE, of_all)
+        computed, used = row.figure.compute(SIZE, of_all)
         if all(slope.fit for slope in used):
-            assert math.isfinite(came.value), row
-            assert "?" not in came.text, row
+            assert math.isfinite(computed.value), row
+            assert "?" not in computed.text, row
         else:
-            assert math.isnan(came.value) and "not measured" in row_line(row, SIZE, of_all)[4], row
+            assert math.isnan(computed.value) and "not measured" in row_line(row, SIZE, of_all)[4], row
 
 
 # The page and the plots ---------------------------------------------------------------------------------
@@ -397,14 +397,14 @@
     assert CliRunner().invoke(main, ["check", *told]).exit_code == 1
     assert CliRunner().invoke(main, ["render", *told]).exit_code == 0
     assert CliRunner().invoke(main, ["check", *told]).exit_code == 0
-    assert {p.name for p in directory.iterdir()} == {plots.name(name) for name in catalogue()}
+    assert {p.name for p in directory.iterdir()} == {plots.file_name(name) for name in catalogue()}
     assert CliRunner().invoke(main, ["render", *told]).output == ""  # nothing to draw again
     changed = lines[0]
     lines[0] = replace(changed, values=dict.fromkeys(changed.values, 7.5))
     write()
     ran = CliRunner().invoke(main, ["check", *told])
     assert ran.exit_code == 1
-    assert f"{plots.name(changed.measurement)}: drawn from other figures" in ran.output
+    assert f"{plots.file_name(changed.measurement)}: drawn from other figures" in ran.output
     assert "the page says" in ran.output
 
 
