--- a/tests/lab/test_capacity_control.py
+++ b/tests/lab/test_capacity_control.py
@@ -1,4 +1,4 @@
-"""The scale tests of control: the stand-in log, hollow gateways, and that their counts find what is wrong."""
+"""Capacity of control traffic: the stand-in log, hollow gateways, and that their counts detect errors."""
 
 from __future__ import annotations
 
@@ -26,37 +26,37 @@
 from hallproxy.state.events import PurgeNotified
 from tests.support.gateway import ROOT, until
 
-LISTED = 20
+MEMBERS = 20
 SEED = 7
 Page = tuple[dict[str, str], dict[str, Any]]
 
 
 @pytest.fixture
 def started() -> Iterator[Callable[..., Child]]:
-    made: list[Child] = []
+    children_started: list[Child] = []
 
     def start(module: str, *args: object) -> Child:
-        made.append(Child(module, *args))
-        return made[-1].ready()
+        children_started.append(Child(module, *args))
+        return children_started[-1].ready()
 
     yield start
-    for child in made:
+    for child in children_started:
         if child.process.poll() is None:
             child.process.kill()
             child.process.wait()
 
 
-def log_of(started: Callable[..., Child], *words: object) -> Child:
-    return started("changelog", "--members", LISTED, "--seed", SEED, *words)
+def start_log(started: Callable[..., Child], *options: object) -> Child:
+    return started("changelog", "--members", MEMBERS, "--seed", SEED, *options)
 
 
-def follow(started: Callable[..., Child], log: Child, count: int, *words: object) -> Child:
-    at, listed = log.told["address"], ("--members", LISTED, "--seed", SEED)
-    return started("hollow", "--at", at, "--gateways", count, *listed, *words)
+def start_followers(started: Callable[..., Child], log: Child, count: int, *options: object) -> Child:
+    at, listed = log.told["address"], ("--members", MEMBERS, "--seed", SEED)
+    return started("hollow", "--at", at, "--gateways", count, *listed, *options)
 
 
-class Asker:
-    """One connection to a log."""
+class Poller:
+    """One connection that polls a log."""
 
     def __init__(self, log: Child) -> None:
         host, port = log.told["address"].split(":")
@@ -86,28 +86,28 @@
     return [event["seq"] for event in page[1]["results"]]
 
 
-def test_the_log_begins_with_its_list_and_goes_on_with_the_purges_of_its_seed(
+def test_the_log_starts_with_its_list_and_continues_with_the_purges_of_its_seed(
     started: Callable[..., Child],
 ) -> None:
-    log = log_of(started)
-    asker = Asker(log)
-    first = asker.ask(0)[1]["results"]
-    assert [e["seq"] for e in first] == [1] and first[0]["fleet"] == fleet.list_event(LISTED)
+    log = start_log(started)
+    poller = Poller(log)
+    first = poller.ask(0)[1]["results"]
+    assert [e["seq"] for e in first] == [1] and first[0]["fleet"] == fleet.list_event(MEMBERS)
     before = time.time_ns() // 1_000_000
     log.command("purge", rate=1000, count=5)
     until(lambda: log.ask("report")["purges"] == 5)
-    told = asker.ask(1)[1]
-    assert told["seq"] == 6 and [e["seq"] for e in told["results"]] == [2, 3, 4, 5, 6]
+    page = poller.ask(1)[1]
+    assert page["seq"] == 6 and [e["seq"] for e in page["results"]] == [2, 3, 4, 5, 6]
     wanted = fleet.Purged(SEED)
-    assert [int(e["invalidate"]["object"], 16) for e in told["results"]] == [wanted[n] for n in range(5)]
-    times = [e["invalidate"]["time"] for e in told["results"]]
+    assert [int(e["invalidate"]["object"], 16) for e in page["results"]] == [wanted[n] for n in range(5)]
+    times = [e["invalidate"]["time"] for e in page["results"]]
     assert times == sorted(times) and before <= times[0] and times[-1] <= time.time_ns() // 1_000_000
 
 
 @pytest.mark.parametrize(
-    "words, sizes",
+    "options, sizes",
     [
-        (("--gather-events", 4), [4, 8, 4, 8]),  # the second page holds all that came meanwhile
+        (("--gather-events", 4), [4, 8, 4, 8]),  # the second page has all events since the first
         (("--gather-events", 4, "--page-events", 4), [4, 4, 4, 4, 4, 4]),
         (("--gather-events", 6, "--page-events", 4), [4, 4, 4, 4, 4, 4]),
         (("--gather-events", 12, "--page-events", 7), [7, 5, 7, 5]),
@@ -115,63 +115,63 @@
         (("--gather-ms", 60_000, "--gather-events", 12), [12, 12]),
     ],
 )
-def test_pages_are_cut_as_told_and_contiguous(
-    started: Callable[..., Child], words: tuple[object, ...], sizes: list[int]
+def test_pages_have_the_configured_sizes_and_are_contiguous(
+    started: Callable[..., Child], options: tuple[object, ...], sizes: list[int]
 ) -> None:
-    """Twice twelve events that come at once, while a poll is held."""
-    log = log_of(started, *words)
-    asker = Asker(log)
+    """Two batches of twelve events, each published at once while a poll is open."""
+    log = start_log(started, *options)
+    poller = Poller(log)
     seen: list[int] = []
     last = 1
     for until_seq in (13, 25):
-        asker.send(last, 5_000)
+        poller.send(last, 5_000)
         until(lambda: log.ask("report")["polls"] == len(seen) + 1)
         log.command("purge", rate=1e9, count=12)
         while last < until_seq:
-            page = numbers(asker.page())
+            page = numbers(poller.page())
             assert page == list(range(last + 1, last + 1 + len(page)))
             seen.append(len(page))
             last = page[-1]
             if last < until_seq:
-                asker.send(last, 5_000)
+                poller.send(last, 5_000)
     assert seen == sizes
 
 
-def test_what_gathers_is_told_when_its_time_is_over_or_at_once_to_who_does_not_wait(
+def test_gathered_events_are_sent_when_due_or_at_once_to_a_poll_that_does_not_wait(
     started: Callable[..., Child],
 ) -> None:
-    log = log_of(started, "--gather-ms", 60_000)
-    asker = Asker(log)
+    log = start_log(started, "--gather-ms", 60_000)
+    poller = Poller(log)
     log.command("purge", rate=100_000, count=3)
     until(lambda: log.ask("report")["purges"] == 3)
-    assert numbers(asker.ask(1, 50)) == []  # not cut: the wait ends with nothing
-    assert numbers(asker.ask(1, 0)) == [2, 3, 4]
-    log.command("change", members=1, whole=False)  # the list cuts at once, with what has gathered
-    page = asker.ask(1)
+    assert numbers(poller.ask(1, 50)) == []  # not published: the wait ends without events
+    assert numbers(poller.ask(1, 0)) == [2, 3, 4]
+    log.command("change", members=1, whole=False)  # a list change publishes the gathered events at once
+    page = poller.ask(1)
     assert numbers(page) == [2, 3, 4, 5] and page[1]["results"][-1]["fleet"]["generation"] == 2
-    soon = log_of(started, "--gather-ms", 100)
-    other = Asker(soon)
+    soon = start_log(started, "--gather-ms", 100)
+    other = Poller(soon)
     other.send(1, 5_000)
     until(lambda: soon.ask("report")["polls"] == 1)
     soon.command("purge", rate=100_000, count=3)
     assert numbers(other.page()) == [2, 3, 4]
 
 
-def test_a_page_is_compressed_for_who_asks_for_it_and_every_byte_is_counted(
+def test_a_page_is_compressed_on_request_and_every_byte_is_counted(
     started: Callable[..., Child],
 ) -> None:
-    log = log_of(started)
+    log = start_log(started)
     log.command("purge", rate=100_000, count=50)
     until(lambda: log.ask("report")["purges"] == 50)
-    asker = Asker(log)
-    plain = asker.ask(1)
-    zipped = asker.ask(1, 5_000, "Accept-Encoding: br, gzip\r\n")
+    poller = Poller(log)
+    plain = poller.ask(1)
+    zipped = poller.ask(1, 5_000, "Accept-Encoding: br, gzip\r\n")
     assert plain[1] == zipped[1] and "content-encoding" not in plain[0]
     assert zipped[0]["content-encoding"] == "gzip"
     assert int(zipped[0]["content-length"]) * 2 < int(plain[0]["content-length"])
     report = log.ask("report")
-    asked = len("GET /changes?since=1&timeout=5000 HTTP/1.1\r\nHost: x\r\n\r\n")
-    assert report["bytes_in"] == 2 * asked + len("Accept-Encoding: br, gzip\r\n")
+    request_bytes = len("GET /changes?since=1&timeout=5000 HTTP/1.1\r\nHost: x\r\n\r\n")
+    assert report["bytes_in"] == 2 * request_bytes + len("Accept-Encoding: br, gzip\r\n")
     wanted = 0
     for fields, _ in (plain, zipped):
         wanted += len("HTTP/1.1 200 OK\r\n\r\n") + int(fields["content-length"])
@@ -180,22 +180,22 @@
     assert (report["polls"], report["told"], report["gzipped"]) == (2, 100, 1)
 
 
-def test_the_log_refuses_what_is_no_poll(started: Callable[..., Child]) -> None:
-    log = log_of(started)
-    for said in ("/other HTTP/1.1\r\n\r\n", "x" * 5_000, "/changes?since=-1&timeout=1 HTTP/1.1\r\n\r\n"):
-        asker = Asker(log)
-        asker.sock.sendall(b"GET " + said.encode())
-        assert asker.file.readline().split()[1] == b"400"
+def test_the_log_rejects_requests_that_are_not_polls(started: Callable[..., Child]) -> None:
+    log = start_log(started)
+    for request in ("/other HTTP/1.1\r\n\r\n", "x" * 5_000, "/changes?since=-1&timeout=1 HTTP/1.1\r\n\r\n"):
+        poller = Poller(log)
+        poller.sock.sendall(b"GET " + request.encode())
+        assert poller.file.readline().split()[1] == b"400"
     assert log.ask("report")["refused"] == 3
 
 
-@pytest.mark.parametrize("words", [(), ("--light",), ("--light", "--gzip")])
-def test_followers_hold_every_purge_once(started: Callable[..., Child], words: tuple[object, ...]) -> None:
-    log = log_of(started)
-    followers = follow(started, log, 5, *words)
+@pytest.mark.parametrize("options", [(), ("--light",), ("--light", "--gzip")])
+def test_followers_hold_every_purge_once(started: Callable[..., Child], options: tuple[object, ...]) -> None:
+    log = start_log(started)
+    followers = start_followers(started, log, 5, *options)
     assert followers.told["ready"] == 5
-    began = log.ask("report")
-    assert began["followers"] == 5
+    initial = log.ask("report")
+    assert initial["followers"] == 5
     log.command("purge", rate=400, count=60)
     until(lambda: followers.ask("least")["least"] == 60)
     report = followers.ask("report")
@@ -204,14 +204,14 @@
     until(lambda: log.ask("report")["confirmed"] == 61)
     log.command("change", members=2, whole=False)
     until(lambda: followers.ask("report")["lists"] == 5)
-    # What follower and log count, byte by byte, once nothing is on the way.
+    # Followers and log count the same bytes once nothing is in flight.
     until(lambda: log.ask("report")["confirmed"] == 62)
-    told, counted = log.ask("report"), followers.ask("report")
-    assert (counted["bytes_in"], counted["bytes_out"]) == (told["bytes_out"], told["bytes_in"])
-    assert counted["polls"] == told["polls"] and told["told"] == 5 * 61
+    of_log, of_followers = log.ask("report"), followers.ask("report")
+    assert (of_followers["bytes_in"], of_followers["bytes_out"]) == (of_log["bytes_out"], of_log["bytes_in"])
+    assert of_followers["polls"] == of_log["polls"] and of_log["told"] == 5 * 61
 
 
-def test_counting_finds_what_is_lost_twice_or_never_made() -> None:
+def test_lost_duplicate_and_foreign_purges_are_detected() -> None:
     purged = fleet.Purged(SEED)
     cases = (
         ([0, 2], "lost"),
@@ -232,11 +232,11 @@
     control.require_all_held(tally.report(pair), 2, 2)
 
 
-def test_a_hollow_gateway_is_a_gateway_inside() -> None:
+def test_a_hollow_gateway_has_the_state_of_a_gateway() -> None:
     """The list reaches its module, and a purge its tables, through the reducer."""
     tally = hollow.Tally(fleet.Purged(SEED))
-    one, other = hollow.hollows(2, LISTED, 0, tally)
-    assert len(one.state.endpoints.by_id) == LISTED and one.state.endpoints is not other.state.endpoints
+    one, other = hollow.hollows(2, MEMBERS, 0, tally)
+    assert len(one.state.endpoints.by_id) == MEMBERS and one.state.endpoints is not other.state.endpoints
     assert one.state.settings is other.state.settings
     obj = fleet.Purged(SEED)[0]
     now = one.now()
@@ -246,15 +246,15 @@
 
 
 def alive(pid: int) -> bool:
-    """Whether it runs: who has ended and is not yet taken note of does not."""
+    """Whether the process runs; a zombie does not."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()[0] != "Z"
     except OSError:
         return False
 
 
-def test_no_process_is_left_when_who_started_it_is_killed(tmp_path: Path) -> None:
-    """A log, a relay and followers, by a parent that dies without a word while purges come."""
+def test_no_process_is_left_when_its_parent_is_killed(tmp_path: Path) -> None:
+    """A log, a relay and followers, whose parent is killed while purges are published."""
     path = tmp_path / "relay.toml"
     text = (
         "import pathlib, time\n"
@@ -286,19 +286,19 @@
             os.kill(pid, signal.SIGKILL)
 
 
-def test_a_process_ends_by_itself_after_its_time(started: Callable[..., Child]) -> None:
-    log = log_of(started, "--seconds", 0.2)
+def test_a_process_ends_when_its_time_limit_expires(started: Callable[..., Child]) -> None:
+    log = start_log(started, "--seconds", 0.2)
     until(lambda: log.process.poll() is not None)
     assert log.process.returncode == 0 and "ended after 0.2 s" in "".join(log.lines)
-    assert log.answer()["seq"] == 1  # its figures, all the same
+    assert log.answer()["seq"] == 1  # it still reports its figures
     with pytest.raises(MeasurementError, match="has ended"):
         log.ask("report")
 
 
-def test_a_child_tells_of_its_end_and_of_its_faults(started: Callable[..., Child]) -> None:
+def test_a_child_reports_its_end_and_its_faults(started: Callable[..., Child]) -> None:
     with pytest.raises(MeasurementError, match="limit of descriptors"):
         started("hollow", "--at", "127.0.0.1:1", "--gateways", 10_000_000)
-    log = log_of(started)
+    log = start_log(started)
     with pytest.raises(MeasurementError, match="within 0.05 s"):
         log.answer(0.05)
     assert children.memory_mb(log.pid) > 1 and children.cpu_s(log.pid) > 0
@@ -306,15 +306,16 @@
     assert log.process.returncode == 0
 
 
-def test_a_real_gateway_that_is_told_twice_or_too_little_is_found(tmp_path: Path) -> None:
+def test_duplicate_and_missing_purges_of_a_real_gateway_are_detected(tmp_path: Path) -> None:
     run = Run(SEED, True, Random(SEED), tmp_path)
-    with Child("changelog", "--members", LISTED, "--seed", SEED).ready() as log:
-        with control.gateway(run, log, LISTED) as program:
-            told = control.measure_purges(log, 200, 20, program.pid)
-            assert told.events == 20 and 0 < told.answers <= 20 and told.cpu_s[0] > 0
+    with Child("changelog", "--members", MEMBERS, "--seed", SEED).ready() as log:
+        with control.gateway(run, log, MEMBERS) as program:
+            figures = control.measure_purges(log, 200, 20, program.pid)
+            assert figures.events == 20 and 0 < figures.answers <= 20 and figures.cpu_s[0] > 0
             with pytest.raises(MeasurementError, match="1 followers of the log, 2 expected"):
                 control.measure_purges(log, 200, 20, program.pid, program.pid)
-            other = threading.Thread(target=lambda: Asker(log).ask(21))  # told of one of them, then gone
+            # The other follower receives one event, then disconnects.
+            other = threading.Thread(target=lambda: Poller(log).ask(21))
             other.start()
             until(lambda: log.ask("report")["followers"] == 2)
             with pytest.raises(MeasurementError, match="events sent; followers: 2"):
@@ -325,35 +326,35 @@
 
 def test_connects_are_counted_by_relay_in_any_100_ms() -> None:
     connects = [(at, 1) for at in (0, 5, 10, 15, 1000, 1050, 1099, 1100, 1199)] + [(1100, 2), (1100, 3)]
-    assert relay.burst(sorted(connects), 100, {1, 2}) == 3  # 1000, 1050, 1099: at 1100 the first is out
+    assert relay.burst(sorted(connects), 100, {1, 2}) == 3  # 1000, 1050, 1099: 1000 leaves at 1100
     assert relay.burst(sorted(connects), 0, {1, 2}) == 4
     assert relay.burst(sorted(connects), 1150, {2}) == 0
 
 
-def test_followers_of_two_relays_hold_all_and_who_is_short_is_found(tmp_path: Path) -> None:
-    """Hollow and light ones together, over two relays; a purge that one process lacks is found."""
+def test_followers_of_two_relays_hold_all_purges_and_a_missing_one_is_detected(tmp_path: Path) -> None:
+    """Hollow and light followers of two relays; a purge missing in one process is detected."""
     run = Run(SEED, True, Random(SEED), tmp_path)
     with ExitStack() as stack:
         log = relay.start_log(run, stack)
         above = [log.told["address"]]
         relays = relay.wait_all_ready([relay.Relay(run, stack, f"r-{n}", above, 20) for n in range(2)])
-        asking = logs.Followers(run, stack, [r.address for r in relays], 6, 4, "--gzip", processes=2)
-        assert [(size, real) for _, size, real in asking.children] == [
+        followers = logs.Followers(run, stack, [r.address for r in relays], 6, 4, "--gzip", processes=2)
+        assert [(size, real) for _, size, real in followers.children] == [
             (2, True), (2, True), (1, False), (1, False),
         ]  # fmt: skip
-        asking.take_baseline()
+        followers.take_baseline()
         log.command("purge", rate=1_000, count=30)
-        reports = asking.wait_held(30)
-        figures = asking.figures(reports, 1.0)
+        reports = followers.wait_held(30)
+        figures = followers.figures(reports, 1.0)
         assert 0 < (figures["delay_p50_ms"] or 0) <= (figures["delay_p100_ms"] or 0)
         assert sorted(r.status()["followers"] for r in relays) == [3, 3]
         relay.require_normal_answers(relays)
-        assert {at for _, at in asking.connects()} == {int(r.address.split(":")[1]) for r in relays}
+        assert {at for _, at in followers.connects()} == {int(r.address.split(":")[1]) for r in relays}
         reports[0]["held"][7] -= 1
         with pytest.raises(MeasurementError, match="not held by every follower"):
             control.require_all_held(reports[0], 2, 30)
-        asker = socket.create_connection(("127.0.0.1", int(relays[0].address.split(":")[1])), timeout=10)
-        asker.sendall(b"GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n")
-        assert asker.recv(100).startswith(b"HTTP/1.1 404 ")
+        connection = socket.create_connection(("127.0.0.1", int(relays[0].address.split(":")[1])), timeout=10)
+        connection.sendall(b"GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n")
+        assert connection.recv(100).startswith(b"HTTP/1.1 404 ")
         with pytest.raises(MeasurementError, match="r-0 sent unwanted answers: {'bad': 1}"):
             relay.require_normal_answers(relays)
