--- a/hallproxy/lab/capacity/control.py
+++ b/hallproxy/lab/capacity/control.py
@@ -18,8 +18,8 @@
 from hallproxy.lab.capacity.hollow import FIRST
 from hallproxy.lab.capacity.registry import Measured, MeasurementError, Quantity, Run, measurement
 
-PURGES_PER_S = 180.0  # purges a second at the operators' size
-MEMBERS = 1_500  # stores there
+PURGES_PER_S = 180.0  # at the operators' size
+MEMBERS = 1_500  # stores at the operators' size
 MEMBERS_TINY = 60
 MAX_EVENT_BYTES = 400.0  # of an event in a page of its own, both ways, with the protocol's headers and JSON
 CORE_PERCENT = 100.0  # of one core
